--- a/scheduler/account.go
+++ b/scheduler/account.go
@@ -12,42 +12,42 @@
 	"chutereach/workload"
 )
 
-// accountState is what an owner knows of a client account: on which terms it is, and what it
-// has of the shard's workers. Jobs without an account share one whose terms bound nothing.
+// accountState is a client account's terms and its use of the shard's workers. Jobs without an
+// account share a state whose terms set no limits.
 type accountState struct {
 	terms account.Terms
-	// used is what all its attempts take, from their grant until it is certain that they are
-	// over. A start counts against the quota from before it is sent, and a stop until its end
-	// is listed, so that no order that is carried out late can bring the account over it.
-	used    resource.Amount
-	hosted  map[*task]struct{}
-	refused int // jobs that could never fit its quota
-	// meter tells which of its jobs come on top of what it is owed; beyond counts these.
-	meter  fairness.Meter
-	beyond int
+	// used is the resources of all attempts from their grant until they are known to be over.
+	// A start counts before it is sent, and a stopped attempt until its end is reported, so
+	// that a delayed order cannot take the account over its quota.
+	used        resource.Amount
+	placedTasks map[*task]struct{}
+	refused     int // jobs rejected because they could never fit the quota
+	// meter decides which jobs exceed the account's weight; excessJobs counts these.
+	meter      fairness.Meter
+	excessJobs int
 }
 
 func newAccountState(terms account.Terms) *accountState {
-	return &accountState{terms: terms, hosted: map[*task]struct{}{}}
+	return &accountState{terms: terms, placedTasks: map[*task]struct{}{}}
 }
 
 func (a *accountState) host(t *task) {
 	a.used = a.used.Plus(t.step.spec.Need)
-	a.hosted[t] = struct{}{}
+	a.placedTasks[t] = struct{}{}
 }
 
 func (a *accountState) release(t *task) {
 	a.used = a.used.Minus(t.step.spec.Need)
-	delete(a.hosted, t)
+	delete(a.placedTasks, t)
 }
 
-// fitting returns how many more of the step's tasks its account may start, at most limit.
-func (a *accountState) fitting(st *step, limit int) int {
+// maxStarts returns how many more of the step's tasks the account may start, up to limit.
+func (a *accountState) maxStarts(st *step, limit int) int {
 	return a.terms.Quota.Fitting(a.used, st.spec.Need, limit)
 }
 
-// accountOf returns the state of the account on whose terms a job was accepted. Newer terms
-// go first; those of an account that is gone hold on.
+// accountOf returns the state of the account that a job was accepted under. Terms of the current
+// configuration take precedence; an account that is no longer configured keeps its last terms.
 func (s *Scheduler) accountOf(terms account.Terms) *accountState {
 	a := s.accounts[terms.Name]
 	if a == nil {
@@ -60,7 +60,7 @@
 	return a
 }
 
-// SetAccounts tells the client accounts of the newest configuration.
+// SetAccounts applies the client accounts of a new configuration.
 func (s *Scheduler) SetAccounts(directory account.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,31 +72,30 @@
 		}
 		s.log.Info().Str("account", name).Stringer("was", resource.Amount(a.terms.Quota)).
 			Stringer("is", resource.Amount(terms.Quota)).Stringer("used", a.used).Float64("weight", terms.Weight).
-			Msg("account has other terms")
+			Msg("account terms changed")
 		a.terms = terms
 	}
 	wake(s.dispatchWake)
 }
 
-// AccountUsage is what an account has of the shard at a moment.
+// AccountUsage is an account's current use of the shard.
 type AccountUsage struct {
 	Account string `json:"account"`
 	Used    string `json:"used"`
-	Quota   string `json:"quota"` // a kind of which it has 0 is not bounded
-	// Waiting are its jobs of which nothing has begun, and Held its steps that the quota
-	// holds back now.
+	Quota   string `json:"quota"` // a resource with a value of 0 is not limited
+	// Waiting counts the jobs of which no task has started, and Held the steps held back by
+	// the quota.
 	Waiting int `json:"waiting"`
 	Held    int `json:"held"`
 	Refused int `json:"refused_for_quota"`
-	// Beyond are jobs that came on top of what its weight comes to.
+	// Beyond counts the jobs that exceeded the account's weight.
 	Beyond int `json:"beyond_weight"`
 }
 
-// mostAccounts bounds the accounts that are shown.
-const mostAccounts = 100
+// maxListedAccounts limits the accounts returned by AccountUsage.
+const maxListedAccounts = 100
 
-// AccountUsage returns the accounts that have jobs here, those with the most in use of their
-// quotas first.
+// AccountUsage returns the accounts with jobs in the shard, by descending dominant share.
 func (s *Scheduler) AccountUsage() []AccountUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,13 +108,13 @@
 	}
 	states := slices.Collect(maps.Values(s.accounts))
 	slices.SortFunc(states, func(a, b *accountState) int {
-		return cmp.Or(cmp.Compare(b.dominant(), a.dominant()), cmp.Compare(a.terms.Name, b.terms.Name))
+		return cmp.Or(cmp.Compare(b.dominantShare(), a.dominantShare()), cmp.Compare(a.terms.Name, b.terms.Name))
 	})
 	var list []AccountUsage
-	for _, a := range states[:min(len(states), mostAccounts)] {
+	for _, a := range states[:min(len(states), maxListedAccounts)] {
 		list = append(list, AccountUsage{
 			Account: a.terms.Name, Used: a.used.String(), Quota: resource.Amount(a.terms.Quota).String(),
-			Waiting: waiting[a], Held: held[a], Refused: a.refused, Beyond: a.beyond,
+			Waiting: waiting[a], Held: held[a], Refused: a.refused, Beyond: a.excessJobs,
 		})
 	}
 	return list
@@ -133,32 +132,32 @@
 	return count
 }
 
-// forgetAccounts drops the accounts of which nothing is left. The lock is held.
+// forgetAccounts removes accounts without jobs and placed tasks. The caller holds the lock.
 func (s *Scheduler) forgetAccounts() {
-	busy := make(map[*accountState]bool, len(s.accounts))
+	inUse := make(map[*accountState]bool, len(s.accounts))
 	for _, j := range s.jobs {
-		busy[j.account] = true
+		inUse[j.account] = true
 	}
-	maps.DeleteFunc(s.accounts, func(_ string, a *accountState) bool { return !busy[a] && len(a.hosted) == 0 })
+	maps.DeleteFunc(s.accounts, func(_ string, a *accountState) bool { return !inUse[a] && len(a.placedTasks) == 0 })
 }
 
-// QuotaError says that a job was not taken, for a part of it could never run within its
+// QuotaError reports a job that was rejected because a part of it can never run within its
 // account's quota.
 type QuotaError struct{ Why string }
 
 func (e *QuotaError) Error() string { return "not taken: " + e.Why }
 
-// checkQuota returns a QuotaError for a request of which a gang, or one task, takes more than
-// its account may ever have. It would wait for as long as the quota is not raised.
+// checkQuota returns a QuotaError if a gang or a single task of the request needs more than the
+// account's whole quota: it would wait until the quota is raised.
 func checkQuota(request workload.Request, terms account.Terms) error {
 	for i, step := range request.Steps {
-		together := 1
+		concurrent := 1
 		if step.Gang {
-			together = step.Count
+			concurrent = step.Count
 		}
-		if terms.Quota.Fitting(resource.Amount{}, step.Need, together) < together {
+		if terms.Quota.Fitting(resource.Amount{}, step.Need, concurrent) < concurrent {
 			return &QuotaError{fmt.Sprintf("step %d needs %v at once, and account %s may have %v",
-				i, step.Need.Times(int64(together)), terms.Name, resource.Amount(terms.Quota))}
+				i, step.Need.Times(int64(concurrent)), terms.Name, resource.Amount(terms.Quota))}
 		}
 	}
 	return nil
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -10,40 +10,38 @@
 )
 
 const (
-	// adviceMost bounds the workers that are asked about for a step at a time. They are
-	// divided among calls, which take 100 each at most: what a gang of 240 tasks needs
-	// would take four calls of a second each, and the tickets of the first run out meanwhile.
-	adviceMost = 400
-	// adviceCall is how many workers one call may name, and adviceStretch by how many times a
-	// call's fixed cost those that it names may lengthen it. On full workers each has room for
-	// one task or none, and a step of thirty needs to hear of seventy: with half the fixed cost
-	// it took eight calls for a step, and every lane that there is.
-	adviceCall    = 100
-	adviceStretch = 1.2
-	// adviceLeast is how many workers a call names if that many have room. A call
-	// has a fixed cost, of which this many add about a third.
+	// maxAdviceWorkers limits the workers asked about for one step at a time. They are split
+	// into calls that run in parallel, so that the first tickets are still valid when the
+	// last ones arrive.
+	maxAdviceWorkers = 400
+	// adviceCall is the maximum number of workers in one call.
+	adviceCall = 100
+	// maxCallCostFactor limits the per-worker cost of a call, as a multiple of its fixed cost.
+	maxCallCostFactor = 1.2
+	// adviceLeast is the minimum number of workers in a call, if that many have free
+	// capacity. Below it, the fixed cost of a call dominates.
 	adviceLeast = 24
-	// adviceRoom is how many times the room that a step needs the workers of a
-	// call should have: others may take some of it before the answer.
-	adviceRoom = 1.5
-	// ticketMargin is how long before its end a ticket is no longer used.
+	// adviceCapacityFactor is how much free capacity to ask about, as a multiple of what a
+	// step needs: other steps may use some of it before the answer arrives.
+	adviceCapacityFactor = 1.5
+	// ticketMargin is how long before its expiry a ticket is no longer used.
 	ticketMargin = 60 * time.Millisecond
-	// ticketLead is how long after a decision a start reaches its worker, usually.
-	ticketLead = 40 * time.Millisecond
-	// checkAgain is when a step for which nothing could be asked is looked at again, if it
-	// is among the checkFirst most urgent, and checkOthers when another is: room goes to
-	// the former first. Where 150 steps waited, looking at each of them every 40 ms took
-	// 0.13 of a core.
-	checkAgain  = 40 * time.Millisecond
-	checkOthers = 160 * time.Millisecond
-	checkFirst  = 32
-	// firstHealthy is the share of workers that may run a step, before any answer
-	// of its queue, and healthyWeight the weight of the newest answer.
-	firstHealthy  = 0.5
-	healthyWeight = 0.1
+	// expectedStartDelay is the usual delay from a placement decision until the start reaches
+	// the worker.
+	expectedStartDelay = 40 * time.Millisecond
+	// checkAgain and otherRecheckInterval are the delays before a step that had no workers to
+	// ask about is examined again. The shorter one applies to the urgentSteps most urgent
+	// steps, which are placed first.
+	checkAgain           = 40 * time.Millisecond
+	otherRecheckInterval = 160 * time.Millisecond
+	urgentSteps          = 32
+	// firstHealthy is the assumed share of eligible workers before the first answer for a
+	// queue, and eligibleShareWeight the weight of the newest answer in the moving average.
+	firstHealthy        = 0.5
+	eligibleShareWeight = 0.1
 )
 
-// options calls f with each worker to which a step could go now, room apart.
+// options calls f for each worker that the step may run on now, regardless of free capacity.
 func (st *step) options(p *pass, f func(*worker)) {
 	if !st.job.record.Queue.Advice.Needed() {
 		for _, w := range p.pools[st.job.record.Queue.Service] {
@@ -51,39 +49,40 @@
 		}
 		return
 	}
-	shown := p.now.Add(ticketLead)
-	for _, permit := range st.advice.permits {
-		if permit.worker.usableIn == p.serial && permit.goodAt(shown) {
-			f(permit.worker)
+	expectedStart := p.now.Add(expectedStartDelay)
+	for _, ticket := range st.advice.tickets {
+		if ticket.worker.usableIn == p.serial && ticket.validAt(expectedStart) {
+			f(ticket.worker)
 		}
 	}
 }
 
-// adviceAtOnce returns how many workers one call names, so that it takes little longer than
-// one that names a single worker.
-func adviceAtOnce(policy workload.AdvicePolicy) int {
+// workersPerCall returns the maximum number of workers in one call under the policy.
+func workersPerCall(policy workload.AdvicePolicy) int {
 	if policy.Each <= 0 {
 		return adviceCall
 	}
-	count := int(adviceStretch * float64(policy.Decision) / float64(policy.Each))
+	count := int(maxCallCostFactor * float64(policy.Decision) / float64(policy.Each))
 	return max(adviceLeast, min(count, adviceCall))
 }
 
-// checkAfter returns when the step at a place in the order of urgency is looked at again.
-func checkAfter(place int) time.Duration {
-	if place < checkFirst {
+// checkAfter returns the delay before the step at a position in the urgency order is
+// examined again.
+func checkAfter(position int) time.Duration {
+	if position < urgentSteps {
 		return checkAgain
 	}
-	return checkOthers
+	return otherRecheckInterval
 }
 
-// askAdvice asks which workers may run the tasks of a step that found no place,
-// unless it needs no advice, a call is under way, or no call would help. The lock
-// is held. If nothing can be asked, the step is looked at again after a while.
-func (s *Scheduler) askAdvice(p *pass, c candidate, again time.Duration) {
+// askAdvice requests tickets for the tasks of a step that could not be placed. It does
+// nothing if the step needs no advice, a call is in flight, or no node can take a call. If
+// no worker is worth asking about, the step is examined again after the given delay. The
+// caller holds the lock.
+func (s *Scheduler) askAdvice(p *pass, c candidate, recheckDelay time.Duration) {
 	st := c.step
 	a, policy := &st.advice, st.job.record.Queue.Advice
-	if !policy.Needed() || a.asking > 0 || p.now.Before(a.checkAt) || s.chooseLane(policy.Cost(1), p.now) == nil {
+	if !policy.Needed() || a.callsInFlight > 0 || p.now.Before(a.nextCheck) || s.chooseAdviceNode(policy.Cost(1), p.now) == nil {
 		return
 	}
 	if c.tasks = c.waiting(); len(c.tasks) == 0 {
@@ -91,25 +90,26 @@
 	}
 	named := s.question(p, c)
 	if len(named) == 0 {
-		a.checkAt = p.now.Add(again)
+		a.nextCheck = p.now.Add(recheckDelay)
 		return
 	}
-	for part := range slices.Chunk(p.fillUp(st, named), adviceAtOnce(policy)) {
-		if !s.sendQuestion(st, part, p.now) {
+	for part := range slices.Chunk(p.fillUp(st, named), workersPerCall(policy)) {
+		if !s.startAdviceCall(st, part, p.now) {
 			return
 		}
 	}
 }
 
-// sendQuestion asks about some workers for a step, if a lane is free.
-func (s *Scheduler) sendQuestion(st *step, named []*worker, now time.Time) bool {
+// startAdviceCall asks about the workers for a step in the background. It returns false if no
+// node can take the call.
+func (s *Scheduler) startAdviceCall(st *step, named []*worker, now time.Time) bool {
 	cost := st.job.record.Queue.Advice.Cost(len(named))
-	l := s.chooseLane(cost, now)
+	l := s.chooseAdviceNode(cost, now)
 	if l == nil {
 		return false
 	}
-	st.advice.asking++
-	l.begin(cost)
+	st.advice.callsInFlight++
+	l.callStarted(cost)
 	name, advisor := st.stepName(), l.Advisor
 	s.running.Go(func() { s.fetchAdvice(st, l, advisor, name, named, cost) })
 	return true
@@ -117,147 +117,145 @@
 
 func (st *step) stepName() string { return st.tasks[0].id().StepName() }
 
-// survey is the room that a step's waiting tasks could use.
-type survey struct {
-	good  int     // slots where a ticket is good until an answer could come
-	known []share // that may run the step, but need a new ticket
-	fresh []share // that were never asked about
+// capacitySurvey is the free capacity that a step's waiting tasks could use.
+type capacitySurvey struct {
+	validSlots int     // slots on workers whose ticket is valid for long enough
+	expired    []share // eligible workers that need a new ticket
+	unasked    []share // workers not asked about yet
 }
 
-// survey looks for a step at the workers of which it has tickets, and then at others
-// until there is enough: a look at all 1,100 workers of a deployment for each step that
-// waits took 0.15 of a core (BenchmarkOwner).
-func (s *Scheduler) survey(p *pass, c candidate) survey {
+// surveyCapacity counts the slots for a step on workers known to be eligible, and collects
+// workers not asked about yet only if those slots do not suffice: scanning every worker
+// for every waiting step is expensive (see BenchmarkOwner).
+func (s *Scheduler) surveyCapacity(p *pass, c candidate) capacitySurvey {
 	st := c.step
-	lasting := p.now.Add(st.job.record.Queue.Advice.Cost(adviceLeast) + ticketMargin)
+	validUntil := p.now.Add(st.job.record.Queue.Advice.Cost(adviceLeast) + ticketMargin)
 	if !st.spec.Gang {
-		lasting = p.now.Add(ticketLead)
+		validUntil = p.now.Add(expectedStartDelay)
 	}
-	var seen survey
-	for _, permit := range st.advice.permits {
-		if permit.worker.usableIn != p.serial {
+	var survey capacitySurvey
+	for _, ticket := range st.advice.tickets {
+		if ticket.worker.usableIn != p.serial {
 			continue
 		}
-		slots := p.slotsFor(c, permit.worker)
+		slots := p.obtainableSlots(c, ticket.worker)
 		switch {
 		case slots < 1:
-		case permit.goodAt(lasting):
-			seen.good += slots
+		case ticket.validAt(validUntil):
+			survey.validSlots += slots
 		default:
-			seen.known = append(seen.known, share{worker: permit.worker, tasks: slots})
+			survey.expired = append(survey.expired, share{worker: ticket.worker, tasks: slots})
 		}
 	}
-	if seen.good < len(c.tasks) {
-		seen.fresh = s.freshRoom(p, c)
+	if survey.validSlots < len(c.tasks) {
+		survey.unasked = s.unaskedWorkers(p, c)
 	}
-	return seen
+	return survey
 }
 
-// slotsFor returns how many of the step's tasks the worker could take, now or, if the
-// step is worth it, once others have given way.
-func (p *pass) slotsFor(c candidate, w *worker) int {
+// obtainableSlots returns how many of the step's tasks fit on the worker now or, if the step
+// is urgent enough to preempt others, after preemption.
+func (p *pass) obtainableSlots(c candidate, w *worker) int {
 	slots := p.slots(c, w)
 	if slots < len(c.tasks) && c.urgency.Pressed {
-		slots = p.slotsWithYields(c, w)
+		slots = p.slotsWithPreemption(c, w)
 	}
 	return slots
 }
 
 const (
-	// freshChoice is how many times the room that a step needs is looked for on workers
-	// that were never asked about, so that those with the most room can be named.
-	freshChoice = 3
-	// mostYielding bounds the workers without room that are looked at for tasks that
-	// could give way.
-	mostYielding = 256
+	// unaskedCapacityFactor is how much capacity to look for on workers not asked about
+	// yet, as a multiple of what a step needs, so that those with the most can be chosen.
+	unaskedCapacityFactor = 3
+	// maxPreemptionScan limits the workers without free capacity that are examined for
+	// preemptible tasks.
+	maxPreemptionScan = 256
 )
 
-// freshRoom returns workers that were never asked about and could take tasks of the step,
-// those with the most free processors first, until they have enough room. The list is good
-// until the next call.
-func (s *Scheduler) freshRoom(p *pass, c candidate) []share {
+// unaskedWorkers returns workers not asked about yet that could take tasks of the step, in
+// order of descending free CPU, until they have enough capacity. The result shares a buffer
+// and is valid until the next call.
+func (s *Scheduler) unaskedWorkers(p *pass, c candidate) []share {
 	st := c.step
-	enough := freshChoice * float64(len(c.tasks)) / s.healthyShare(st.job.record.Queue.Name)
+	target := unaskedCapacityFactor * float64(len(c.tasks)) / s.eligibleShare(st.job.record.Queue.Name)
 	need := st.need().CPU
-	fresh := s.freshBuffer[:0]
-	room, full := 0, 0
+	unasked := s.freshBuffer[:0]
+	totalSlots, withoutCPU := 0, 0
 	for _, w := range p.pools[st.job.record.Queue.Service] {
-		if float64(room) >= enough && len(fresh) >= adviceLeast {
+		if float64(totalSlots) >= target && len(unasked) >= adviceLeast {
 			break
 		}
 		if w.free().CPU < need {
-			if full++; full > mostYielding || !c.urgency.Pressed {
-				break // the rest have no more
+			if withoutCPU++; withoutCPU > maxPreemptionScan || !c.urgency.Pressed {
+				break // the pool is sorted: the remaining workers have no more free CPU
 			}
 		}
 		if st.advice.asked[w] {
 			continue
 		}
-		if slots := p.slotsFor(c, w); slots > 0 {
-			fresh = append(fresh, share{worker: w, tasks: slots})
-			room += slots
+		if slots := p.obtainableSlots(c, w); slots > 0 {
+			unasked = append(unasked, share{worker: w, tasks: slots})
+			totalSlots += slots
 		}
 	}
-	s.freshBuffer = fresh
-	return fresh
+	s.freshBuffer = unasked
+	return unasked
 }
 
-// question returns the workers to ask about so that the step's waiting tasks find
-// room on those that may run it. Workers without room are not asked about: their
-// tickets would run out unused. A gang that has no room anywhere learns first which
-// workers it could wait for.
+// question returns the workers to ask about for the step's waiting tasks. Workers without
+// free capacity are left out, since their tickets would expire unused. The exception is a
+// gang that fits nowhere yet: it first learns which workers it could wait for.
 func (s *Scheduler) question(p *pass, c candidate) []*worker {
 	st, tasks := c.step, len(c.tasks)
-	seen := s.survey(p, c)
-	healthy := s.healthyShare(st.job.record.Queue.Name)
-	hoped := float64(seen.good) + float64(tasksOf(seen.known)) + healthy*float64(tasksOf(seen.fresh))
+	survey := s.surveyCapacity(p, c)
+	eligibleShare := s.eligibleShare(st.job.record.Queue.Name)
+	expectedSlots := float64(survey.validSlots) + float64(totalTasks(survey.expired)) + eligibleShare*float64(totalTasks(survey.unasked))
 	switch {
-	case seen.good >= tasks:
+	case survey.validSlots >= tasks:
 		return nil
-	case st.spec.Gang && hoped < float64(tasks):
-		if st.permittedSlots() < gangChoice*tasks {
-			return s.roomiest(p, c)
+	case st.spec.Gang && expectedSlots < float64(tasks):
+		if st.eligibleSlots() < gangCapacityFactor*tasks {
+			return s.mostFreeUnasked(p, c)
 		}
 		return nil
 	}
-	wanted := adviceRoom * float64(tasks-seen.good)
+	wanted := adviceCapacityFactor * float64(tasks-survey.validSlots)
 	if st.spec.Gang {
-		wanted = adviceRoom * float64(tasks) // all tickets are shown at one moment
+		wanted = adviceCapacityFactor * float64(tasks) // a gang needs all its tickets to be valid at the same time
 	}
-	named, wanted := takeRoom(nil, seen.known, wanted, 1)
+	named, wanted := selectWorkers(nil, survey.expired, wanted, 1)
 	if wanted > 0 || len(st.advice.asked) == 0 {
-		named, _ = takeRoom(named, seen.fresh, wanted, healthy)
+		named, _ = selectWorkers(named, survey.unasked, wanted, eligibleShare)
 	}
 	return named
 }
 
-// fillUp adds workers to a costly call that names few: its cost is mostly fixed, and room comes
-// up everywhere while tickets are good. First those that may run the step and need a new ticket,
-// then others in the order of free processors. 1,070 calls of a calm day renewed the tickets of
-// 1.3 workers each, for which one call of thirty takes half as long again.
+// fillUp adds workers to an expensive call that names few, since most of its cost is fixed and
+// workers may gain capacity while their tickets are valid. Eligible workers that need a new
+// ticket come first, then workers not asked about yet, by free CPU.
 func (p *pass) fillUp(st *step, named []*worker) []*worker {
 	policy := st.job.record.Queue.Advice
-	most := adviceAtOnce(policy)
-	if policy.Decision <= cheapAdvice || len(named) >= most {
+	limit := workersPerCall(policy)
+	if policy.Decision <= maxCheapCost || len(named) >= limit {
 		return named
 	}
-	chosen := make(map[*worker]bool, most)
+	chosen := make(map[*worker]bool, limit)
 	for _, w := range named {
 		chosen[w] = true
 	}
 	add := func(w *worker) {
-		if len(named) < most && !chosen[w] && w.usableIn == p.serial && st.allows(w) {
+		if len(named) < limit && !chosen[w] && w.usableIn == p.serial && st.allows(w) {
 			named = append(named, w)
 		}
 	}
-	lasting := p.now.Add(ticketLead)
-	for _, permit := range st.advice.permits {
-		if !permit.goodAt(lasting) {
-			add(permit.worker)
+	expectedStart := p.now.Add(expectedStartDelay)
+	for _, ticket := range st.advice.tickets {
+		if !ticket.validAt(expectedStart) {
+			add(ticket.worker)
 		}
 	}
 	for _, w := range p.pools[st.job.record.Queue.Service] {
-		if len(named) >= most {
+		if len(named) >= limit {
 			break
 		}
 		if !st.advice.asked[w] {
@@ -267,49 +265,49 @@
 	return named
 }
 
-// takeRoom names the workers with the most room until they have as much as is
-// wanted, and returns what is still wanted. Of those that may turn out unfit it names
-// adviceLeast at the least.
-func takeRoom(named []*worker, list []share, wanted, healthy float64) ([]*worker, float64) {
+// selectWorkers appends to named the workers with the most slots until they provide what is
+// wanted, and returns what is still missing. If some of them may turn out ineligible
+// (eligibleShare < 1), it names at least the minimum for one call.
+func selectWorkers(named []*worker, list []share, wanted, eligibleShare float64) ([]*worker, float64) {
 	slices.SortFunc(list, func(a, b share) int {
 		if a.tasks != b.tasks {
 			return b.tasks - a.tasks
 		}
 		return int(b.worker.free().CPU - a.worker.free().CPU)
 	})
-	least := 0
-	if healthy < 1 {
-		least = adviceLeast
+	minimum := 0
+	if eligibleShare < 1 {
+		minimum = adviceLeast
 	}
 	for _, r := range list {
-		if wanted <= 0 && len(named) >= least || len(named) == adviceMost {
+		if wanted <= 0 && len(named) >= minimum || len(named) == maxAdviceWorkers {
 			break
 		}
 		named = append(named, r.worker)
-		wanted -= healthy * float64(r.tasks)
+		wanted -= eligibleShare * float64(r.tasks)
 	}
 	return named, wanted
 }
 
-// gangChoice is how many times the room that a gang needs its workers should have
-// if they were idle; with fewer to choose from it would wait for long.
-const gangChoice = 4
+// gangCapacityFactor is the idle capacity that a gang's eligible workers should have, as a
+// multiple of what the gang needs. With less, the gang could wait for long.
+const gangCapacityFactor = 4
 
-// permittedSlots is how many of the step's tasks all workers that may run it would
-// take if they were idle.
-func (st *step) permittedSlots() int {
+// eligibleSlots returns how many of the step's tasks would fit on all workers known to be
+// eligible if these were idle.
+func (st *step) eligibleSlots() int {
 	total := 0
-	for _, permit := range st.advice.permits {
-		if !permit.worker.over {
-			total += st.fittingInto(permit.worker.info.Capacity, permit.worker)
+	for _, ticket := range st.advice.tickets {
+		if !ticket.worker.over {
+			total += st.fitCount(ticket.worker.info.Capacity, ticket.worker)
 		}
 	}
 	return total
 }
 
-// roomiest returns the workers with the most room of those that were not asked
-// about and could take a task of the step if they were idle.
-func (s *Scheduler) roomiest(p *pass, c candidate) []*worker {
+// mostFreeUnasked returns the workers with the most free CPU among those not asked about yet
+// that could run a task of the step if they were idle.
+func (s *Scheduler) mostFreeUnasked(p *pass, c candidate) []*worker {
 	var list []*worker
 	for _, w := range p.pools[c.step.job.record.Queue.Service] {
 		if c.step.allows(w) && !c.step.advice.asked[w] {
@@ -317,12 +315,12 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *worker) int { return int(b.free().CPU - a.free().CPU) })
-	return list[:min(len(list), adviceMost)]
+	return list[:min(len(list), maxAdviceWorkers)]
 }
 
-// healthyShare returns the share of workers that may run a step of a queue, as
-// answers have shown it.
-func (s *Scheduler) healthyShare(queue string) float64 {
+// eligibleShare returns the share of workers that may run a step of the queue, as estimated
+// from earlier answers.
+func (s *Scheduler) eligibleShare(queue string) float64 {
 	if share, ok := s.healthy[queue]; ok {
 		return share
 	}
@@ -331,7 +329,7 @@
 
 func (s *Scheduler) fetchAdvice(st *step, l *lane, advisor fleet.Advisor, name string, named []*worker, cost time.Duration) {
 	s.mu.Lock()
-	limit := l.limit(cost) + s.patience()
+	limit := l.timeout(cost) + s.patience()
 	ids := make([]string, 0, len(named))
 	for _, w := range named {
 		ids = append(ids, w.info.ID)
@@ -345,26 +343,27 @@
 	s.metrics.advice(now.Sub(begun), err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.end(cost)
-	st.advice.asking--
+	l.callEnded(cost)
+	st.advice.callsInFlight--
 	if err != nil {
 		if s.ctx.Err() == nil {
 			s.log.Warn().Str("job", st.job.id).Str("step", name).Str("lane", l.Node).Err(err).Msg("no advice")
 		}
-		l.until = now.Add(lanePause)
+		l.pausedUntil = now.Add(adviceFailurePause)
 	} else {
-		s.adviceCame(st, named, advice, now)
+		s.recordAdvice(st, named, advice, now)
 	}
 	wake(s.dispatchWake)
 }
 
-// adviceCame takes an answer in. The lock is held.
-func (s *Scheduler) adviceCame(st *step, named []*worker, advice fleet.Advice, now time.Time) {
+// recordAdvice stores an answer and updates the queue's share of eligible workers. The caller
+// holds the lock.
+func (s *Scheduler) recordAdvice(st *step, named []*worker, advice fleet.Advice, now time.Time) {
 	asked, healthy := st.advice.take(named, advice, now)
 	st.tried = 0
 	if asked > 0 {
 		queue := st.job.record.Queue.Name
-		share := s.healthyShare(queue)
-		s.healthy[queue] = share + (float64(healthy)/float64(asked)-share)*healthyWeight
+		share := s.eligibleShare(queue)
+		s.healthy[queue] = share + (float64(healthy)/float64(asked)-share)*eligibleShareWeight
 	}
 }
--- a/scheduler/bundle.go
+++ b/scheduler/bundle.go
@@ -8,38 +8,37 @@
 	"chutereach/workload"
 )
 
-// Rows of jobs are written one by one while a transaction holds all that has
-// changed. When it does not, because the store is slow or much changes at once,
-// all of it goes into a few bundles: rows that hold the progress of many jobs. A
-// job's generation tells which of its rows is the latest. Once there is time
-// again, jobs are taken out of bundles by being written one by one, and a bundle
-// is deleted when no job needs it.
+// Each changed job is normally written as a row of its own. If more jobs have
+// changed than fit into one transaction that way, they are written as bundles:
+// rows that hold the progress of many jobs. The generation of a job tells which
+// of its rows is the latest. When the load drops, bundled jobs are written as
+// rows of their own again, and a bundle that no job refers to is deleted.
 
 const (
 	bundleTable = "bundles"
-	// maxBundle bounds the bytes of a bundle, and maxBundled those of all bundles
-	// of one transaction.
-	maxBundle  = 48 << 10
-	maxBundled = 600 << 10
-	// unbundleAtOnce is how many jobs are taken out of bundles at a time.
+	// maxBundleBytes is the size at which a bundle is closed, and maxTransactionBundleBytes
+	// the total size after which a transaction takes no more jobs.
+	maxBundleBytes            = 48 << 10
+	maxTransactionBundleBytes = 600 << 10
+	// unbundleAtOnce is how many jobs are moved out of bundles after one transaction.
 	unbundleAtOnce = 32
 )
 
-// bundled is what a bundle holds of a job.
+// bundled is the entry of one job in a bundle.
 type bundled struct {
 	Job      string            `cbor:"1,keyasint"`
 	Record   *workload.Record  `cbor:"2,keyasint,omitempty"`
 	Progress workload.Progress `cbor:"3,keyasint"`
 }
 
-// bundle is a bundle in the store, and the jobs that need it.
+// bundle is a bundle in the store and the jobs whose latest row it may hold.
 type bundle struct {
 	name string
 	jobs map[string]*job
 }
 
-// takeBundles takes jobs off the queue into bundles. Jobs whose rows are to be
-// deleted stay in it until there is time.
+// takeBundles moves dirty jobs into bundles and returns the rows to write. Jobs whose rows are
+// to be deleted, and those beyond the size limit, stay dirty.
 func (s *Scheduler) takeBundles() ([]written, []rowstore.Put) {
 	var batch []written
 	var puts []rowstore.Put
@@ -54,19 +53,19 @@
 		b, entries, size = nil, nil, 0
 	}
 	for _, j := range s.dirty {
-		if j.forgotten || total > maxBundled {
+		if j.forgotten || total > maxTransactionBundleBytes {
 			rest = append(rest, j)
 			continue
 		}
 		if b == nil {
-			b = &bundle{name: s.nextBundle(), jobs: map[string]*job{}}
+			b = &bundle{name: s.nextBundleName(), jobs: map[string]*job{}}
 		}
 		j.queued, j.sent = false, true
-		entry := s.bundledOf(j)
+		entry := s.encodeBundleEntry(j)
 		entries = append(entries, entry)
 		size, total = size+len(entry), total+len(entry)
 		batch = append(batch, written{job: j, generation: j.generation, state: j.state, bundle: b})
-		if size > maxBundle {
+		if size > maxBundleBytes {
 			closeBundle()
 		}
 	}
@@ -75,12 +74,12 @@
 	return batch, puts
 }
 
-func (s *Scheduler) nextBundle() string {
+func (s *Scheduler) nextBundleName() string {
 	s.bundleCount++
 	return fmt.Sprintf("%016x.%08x", s.term.Token(), s.bundleCount)
 }
 
-func (s *Scheduler) bundledOf(j *job) codec.Raw {
+func (s *Scheduler) encodeBundleEntry(j *job) codec.Raw {
 	entry := bundled{Job: j.id, Progress: j.progress()}
 	if j.needsRecord() && !j.inserted {
 		entry.Record = &j.record
@@ -88,14 +87,14 @@
 	return codec.MustMarshal(entry)
 }
 
-// enterBundle notes that a job's latest row is in a bundle, or, with nil, its
-// own. The lock is held.
+// enterBundle records which bundle holds a job's latest row; nil means a row of its own. The
+// caller holds the lock.
 func (s *Scheduler) enterBundle(j *job, b *bundle) {
 	if j.bundle != nil {
-		s.leaveBundle(j, j.bundle)
+		s.removeFromBundle(j, j.bundle)
 	}
 	for _, former := range j.inherited {
-		s.leaveBundle(j, former)
+		s.removeFromBundle(j, former)
 	}
 	j.bundle, j.inherited = b, nil
 	if b != nil {
@@ -104,7 +103,7 @@
 	}
 }
 
-func (s *Scheduler) leaveBundle(j *job, former *bundle) {
+func (s *Scheduler) removeFromBundle(j *job, former *bundle) {
 	delete(former.jobs, j.id)
 	if len(former.jobs) == 0 {
 		delete(s.bundles, former.name)
@@ -112,7 +111,8 @@
 	}
 }
 
-// unbundle has some jobs written one by one. The lock is held.
+// unbundle queues some bundled jobs to be written as rows of their own. The caller holds the
+// lock.
 func (s *Scheduler) unbundle() {
 	left := unbundleAtOnce
 	for _, b := range s.bundles {
@@ -126,8 +126,8 @@
 	}
 }
 
-// bundledRows returns the latest that bundles say of each job, and the records in
-// them.
+// bundledRows decodes bundles and returns the entry with the latest progress of each job. An
+// entry that has no record gets the one of another entry for the job.
 func (s *Scheduler) bundledRows(rows []rowstore.Row) (map[string]bundled, error) {
 	latest := map[string]bundled{}
 	for _, row := range rows {
@@ -150,12 +150,12 @@
 	return latest, nil
 }
 
-// BundleError says that a bundle cannot be read.
+// BundleError reports a bundle that cannot be decoded.
 type BundleError struct {
 	Name  string
 	Cause error
 }
 
-func (e *BundleError) Error() string { return fmt.Sprintf("bundle %s: %v", e.Name, e.Cause) }
+func (e *BundleError) Error() string { return fmt.Sprintf("decoding bundle %s: %v", e.Name, e.Cause) }
 
 func (e *BundleError) Unwrap() error { return e.Cause }
--- a/scheduler/fairness.go
+++ b/scheduler/fairness.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// noteArrival counts a job that has come against what its account is owed.
+// noteArrival counts an accepted job against its account's weight.
 func (j *job) noteArrival() {
 	a := j.account
 	a.meter, j.beyond = a.meter.WithJob(a.terms.Weight, j.arrived)
 	if j.beyond {
-		a.beyond++
+		a.excessJobs++
 	}
 }
 
-// noteArrivals does so for the jobs that a former owner left, in the order in which they came.
+// noteArrivals counts the jobs taken over from an earlier owner, in order of arrival.
 func (s *Scheduler) noteArrivals() {
 	var list []*job
 	for _, j := range s.jobs {
@@ -30,21 +30,20 @@
 	}
 }
 
-// sortByUrgency puts the most urgent candidates first. Of the jobs of an account that wait and may
-// be long, what it is owed goes to the most urgent ones, whichever of them came on top, and the
-// others come on top from then on: a gang would be starved by small jobs of its own account that
-// came in their time. Jobs of the first queue are short and keep what they came with: to prefer the
-// oldest of them when there are too many makes more of them late (488 of 723 in time instead of 557).
+// sortByUrgency sorts candidates by descending urgency. Except for jobs of priority 0, each
+// account's allowance within its weight is reassigned to its most urgent waiting jobs, so that
+// a gang is not starved by small jobs of its own account that arrived within the weight. Jobs
+// of priority 0 are short and keep the classification that they had on arrival.
 func sortByUrgency(list []candidate) {
-	owed := map[*accountState]int{}
+	allowance := map[*accountState]int{}
 	counted := map[*job]bool{}
 	for i := range list {
 		j := list[i].step.job
-		if j.first() {
+		if j.topPriority() {
 			continue
 		}
 		if !j.beyond && !counted[j] {
-			owed[j.account]++
+			allowance[j.account]++
 		}
 		counted[j] = true
 		list[i].urgency.Beyond = false
@@ -54,13 +53,13 @@
 		j := list[i].step.job
 		if counted[j] {
 			counted[j] = false
-			j.beyond = owed[j.account] == 0
-			owed[j.account] = max(0, owed[j.account]-1)
+			j.beyond = allowance[j.account] == 0
+			allowance[j.account] = max(0, allowance[j.account]-1)
 		}
 		list[i].urgency.Beyond = j.beyond
 	}
 	slices.SortFunc(list, byUrgency)
 }
 
-// first reports whether the job is of a first queue, whose jobs must begin at once.
-func (j *job) first() bool { return j.record.Queue.Priority == 0 }
+// topPriority reports whether the job's queue has priority 0, whose jobs must start at once.
+func (j *job) topPriority() bool { return j.record.Queue.Priority == 0 }
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -7,11 +7,11 @@
 	"chutereach/resource"
 )
 
-// fittingInto returns how many tasks of the step fit into an amount on a worker.
-func (st *step) fittingInto(free resource.Amount, w *worker) int {
+// fitCount returns how many tasks of the step fit into the free capacity of a worker.
+func (st *step) fitCount(free resource.Amount, w *worker) int {
 	need := st.need()
 	if !free.Valid() {
-		return 0 // it has shrunk below what runs there
+		return 0 // the worker was resized below what it runs
 	}
 	count := st.spec.Count
 	limit := func(have, want int64) {
@@ -28,36 +28,36 @@
 	return max(0, count)
 }
 
-// share is a number of tasks for a worker.
+// share is a worker and how many tasks it can take.
 type share struct {
 	worker *worker
 	tasks  int
-	score  float64 // the lowest is the best
+	score  float64 // lower is better
 }
 
-// placeTogether places all waiting tasks of a step or none: a gang, or a step
-// that wants a single rack.
-func (s *Scheduler) placeTogether(p *pass, c candidate) {
-	if c.step.tried >= p.grew[c.step.job.record.Queue.Service] {
-		s.keepFree(p, c)
+// placeAllOrNothing places either all waiting tasks of a step or none. It is used for gangs
+// and for steps that prefer a single rack.
+func (s *Scheduler) placeAllOrNothing(p *pass, c candidate) {
+	if c.step.tried >= p.lastGrowth[c.step.job.record.Queue.Service] {
+		s.blockWorkersFor(p, c)
 		return
 	}
-	p.held = false
+	p.withheld = false
 	c.tasks = c.waiting()
-	shares := s.shares(p, c)
+	shares := s.slotsByWorker(p, c)
 	if c.step.spec.SameRack {
-		shares = oneRack(shares, len(c.tasks))
+		shares = preferSingleRack(shares, len(c.tasks))
 	}
-	if shares = enough(shares, len(c.tasks)); shares == nil {
-		c.step.noRoom(p)
-		s.makeRoom(p, c, len(c.tasks))
-		s.keepFree(p, c)
+	if shares = sortIfSufficient(shares, len(c.tasks)); shares == nil {
+		c.step.recordNoCapacity(p)
+		s.preempt(p, c, len(c.tasks))
+		s.blockWorkersFor(p, c)
 		return
 	}
 	if c.step.suspected && !claim(p, c, shares) {
 		return
 	}
-	c.step.releaseRoom()
+	c.step.releaseReservations()
 	attempt := 0
 	for _, t := range c.tasks {
 		attempt = max(attempt, t.attempt)
@@ -74,18 +74,17 @@
 	}
 }
 
-func (s *Scheduler) shares(p *pass, c candidate) []share {
+func (s *Scheduler) slotsByWorker(p *pass, c candidate) []share {
 	var shares []share
 	c.step.options(p, func(w *worker) {
 		if slots := p.slots(c, w); slots > 0 {
-			shares = append(shares, share{w, slots, s.scoreOf(c.step, w, p.now) - c.step.claimed(w, p.now)})
+			shares = append(shares, share{w, slots, s.workerScore(c.step, w, p.now) - c.step.claimed(w, p.now)})
 		}
 	})
 	return shares
 }
 
-// tasksOf counts the tasks of all shares.
-func tasksOf(shares []share) int {
+func totalTasks(shares []share) int {
 	total := 0
 	for _, part := range shares {
 		total += part.tasks
@@ -93,23 +92,23 @@
 	return total
 }
 
-// byScore orders shares, the best first.
+// byScore orders shares by ascending score, then by worker ID.
 func byScore(a, b share) int {
 	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.worker.info.ID, b.worker.info.ID))
 }
 
-// enough returns shares that take all tasks, the best workers first, or nil.
-func enough(shares []share, tasks int) []share {
-	if tasksOf(shares) < tasks {
+// sortIfSufficient returns the shares sorted by score, or nil if they cannot take all tasks.
+func sortIfSufficient(shares []share, tasks int) []share {
+	if totalTasks(shares) < tasks {
 		return nil
 	}
 	slices.SortFunc(shares, byScore)
 	return shares
 }
 
-// oneRack returns the shares of a rack that takes all tasks, if there is one; a
-// step that wants one rack runs over several where none has the room.
-func oneRack(shares []share, tasks int) []share {
+// preferSingleRack returns the shares of the rack with the least capacity that can take all
+// tasks, or all shares if no rack can.
+func preferSingleRack(shares []share, tasks int) []share {
 	racks := map[string][]share{}
 	totals := map[string]int{}
 	for _, part := range shares {
@@ -129,27 +128,27 @@
 	return racks[best]
 }
 
-// keepFree keeps lesser work off workers that could take a waiting gang, so that
-// it is not starved by work that fits in between.
-func (s *Scheduler) keepFree(p *pass, c candidate) {
-	if p.gangs >= maxBlockingGangs || !c.urgency.InTime() {
+// blockWorkersFor keeps other steps off workers that could run a waiting gang, so that smaller
+// tasks do not starve it. In-time steps of priority 0 may still use them.
+func (s *Scheduler) blockWorkersFor(p *pass, c candidate) {
+	if p.blockingGangs >= maxBlockingGangs || !c.urgency.InTime() {
 		return
 	}
-	var able []*worker
+	var eligible []*worker
 	for _, w := range p.pools[c.step.job.record.Queue.Service] {
 		mayRun := !c.step.job.record.Queue.Advice.Needed() || c.step.advice.at[w] != nil
 		if mayRun && c.step.allows(w) && !p.blocked[w] {
-			able = append(able, w)
+			eligible = append(eligible, w)
 		}
 	}
-	slices.SortFunc(able, func(a, b *worker) int { return cmp.Compare(b.free().CPU, a.free().CPU) })
+	slices.SortFunc(eligible, func(a, b *worker) int { return cmp.Compare(b.free().CPU, a.free().CPU) })
 	left := len(c.waiting())
-	for _, w := range able {
+	for _, w := range eligible {
 		if left <= 0 {
 			break
 		}
-		left -= c.step.fittingInto(w.info.Capacity, w)
+		left -= c.step.fitCount(w.info.Capacity, w)
 		p.blocked[w] = true
 	}
-	p.gangs++
+	p.blockingGangs++
 }
--- a/scheduler/gaps.go
+++ b/scheduler/gaps.go
@@ -7,8 +7,8 @@
 	"chutereach/resource"
 )
 
-// noteDemand notes the gangs of a job that has come. Those of the first queue are small and
-// wait for nobody.
+// noteDemand records the gangs of a newly accepted job as demand. Gangs of priority 0 are
+// ignored: they are small, and preempt other work instead of waiting.
 func (s *Scheduler) noteDemand(j *job, now time.Time) {
 	queue := j.record.Queue
 	if queue.Priority == 0 {
@@ -21,28 +21,29 @@
 	}
 }
 
-// countGaps counts the room for gangs on the usable workers.
+// countGaps computes the headroom for gangs on the usable workers of each service.
 func (p *pass) countGaps(demands map[string]headroom.Demand) {
 	for service, demand := range demands {
 		gaps := demand.GapsAt(p.now)
 		for _, w := range p.pools[service] {
 			gaps = gaps.WithRoom(w.free())
 		}
-		p.gaps[service] = gaps
+		p.headroom[service] = gaps
 	}
 }
 
-// keepsGap reports whether the room that a task of the step would take on the worker is kept
-// for gangs that may come. Gangs take it.
-func (p *pass) keepsGap(st *step, w *worker) bool {
-	gaps, counted := p.gaps[w.info.Service]
+// keepsHeadroom reports whether the capacity that a task of the step would use on the worker
+// is reserved for future gangs. Gangs themselves may use it.
+func (p *pass) keepsHeadroom(st *step, w *worker) bool {
+	gaps, counted := p.headroom[w.info.Service]
 	free := w.free()
 	return counted && !st.spec.Gang && gaps.Keeps(st.job.record.Queue.Priority, free, free.Minus(st.need()))
 }
 
-// takeGap notes that a worker has been given a task.
-func (p *pass) takeGap(w *worker, before resource.Amount) {
-	if gaps, counted := p.gaps[w.info.Service]; counted {
-		p.gaps[w.info.Service] = gaps.WithTaken(before, w.free())
+// useHeadroom updates the headroom after a task was placed on a worker; before is the worker's
+// free capacity before that.
+func (p *pass) useHeadroom(w *worker, before resource.Amount) {
+	if gaps, counted := p.headroom[w.info.Service]; counted {
+		p.headroom[w.info.Service] = gaps.WithTaken(before, w.free())
 	}
 }
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// cheapAdvice is the cost below which a call counts as cheap: a call for work
-	// that is urgent must not wait behind one that is not cheap.
-	cheapAdvice = 40 * time.Millisecond
-	// laneDepth bounds the work that waits at a lane, besides one call.
-	laneDepth = 30 * time.Millisecond
-	// adviceSlack is added to what a call should take, cheapSlack to what a cheap one
-	// should: urgent work waits for it.
-	adviceSlack = 500 * time.Millisecond
-	cheapSlack  = 200 * time.Millisecond
-	// lanePause spares a lane that failed.
-	lanePause = 500 * time.Millisecond
-	// cheapShare is the share of the other nodes' lanes that is kept for cheap
-	// calls, beside the owner's own.
-	cheapShare = 0.25
+	// maxCheapCost is the cost up to which a call counts as cheap. Cheap calls serve urgent
+	// work and must not queue behind expensive ones.
+	maxCheapCost = 40 * time.Millisecond
+	// maxPendingCost is the pending cost above which a node only takes calls that keep its
+	// total within twice maxCheapCost.
+	maxPendingCost = 30 * time.Millisecond
+	// costlyCallSlack and cheapCallSlack are added to the expected duration of a call to
+	// obtain its timeout. The latter is shorter because urgent work waits for cheap calls.
+	costlyCallSlack = 500 * time.Millisecond
+	cheapCallSlack  = 200 * time.Millisecond
+	// adviceFailurePause is how long a node gets no calls after one has failed.
+	adviceFailurePause = 500 * time.Millisecond
+	// reservedCheapShare is the share of the remote nodes reserved for cheap calls, in
+	// addition to the owner's own node.
+	reservedCheapShare = 0.25
 )
 
-// Lane is a node from which advice can be asked; the advisor takes one call at a
-// time from each.
+// Lane is a node through which advice can be requested. The advisor serves one call at a
+// time from each node.
 type Lane struct {
 	Node    string
 	Self    bool
@@ -33,12 +34,13 @@
 
 type lane struct {
 	Lane
-	queued time.Duration // cost of the calls under way
-	costly bool          // one of them is not cheap
-	until  time.Time     // spared until then
+	pendingCost   time.Duration // total cost of the calls in flight
+	hasCostlyCall bool          // an expensive call is in flight
+	pausedUntil   time.Time     // no calls until then, after a failure
 }
 
-// SetLanes tells from which nodes advice can be asked.
+// SetLanes sets the nodes through which advice can be requested. Nodes that remain keep their
+// pending calls.
 func (s *Scheduler) SetLanes(list []Lane) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,21 +60,21 @@
 	wake(s.dispatchWake)
 }
 
-// chooseLane returns the lane for a call of a cost, or nil if none is free.
-func (s *Scheduler) chooseLane(cost time.Duration, now time.Time) *lane {
-	if cost > cheapAdvice && !s.spareLane(now) {
+// chooseAdviceNode returns the node for a call of the given cost, or nil if none can take it.
+func (s *Scheduler) chooseAdviceNode(cost time.Duration, now time.Time) *lane {
+	if cost > maxCheapCost && !s.allowsCostlyCall(now) {
 		return nil
 	}
-	others := s.otherLanes(now)
+	remote := s.availableRemoteNodes(now)
 	var best *lane
 	for _, l := range s.lanes {
-		if now.Before(l.until) {
+		if now.Before(l.pausedUntil) {
 			continue
 		}
-		if l.Self && cost > cheapAdvice && others > 0 {
-			continue // the own lane is kept for cheap calls
+		if l.Self && cost > maxCheapCost && remote > 0 {
+			continue // reserved for cheap calls
 		}
-		if l.queued > laneDepth && l.queued+cost > cheapAdvice*2 {
+		if l.pendingCost > maxPendingCost && l.pendingCost+cost > maxCheapCost*2 {
 			continue
 		}
 		if best == nil || l.rank(cost) < best.rank(cost) {
@@ -82,56 +84,56 @@
 	return best
 }
 
-// otherLanes counts the other nodes' lanes that work.
-func (s *Scheduler) otherLanes(now time.Time) int {
-	others := 0
+// availableRemoteNodes counts the remote nodes that are not paused.
+func (s *Scheduler) availableRemoteNodes(now time.Time) int {
+	remote := 0
 	for _, l := range s.lanes {
-		if !l.Self && now.After(l.until) {
-			others++
+		if !l.Self && now.After(l.pausedUntil) {
+			remote++
 		}
 	}
-	return others
+	return remote
 }
 
-// spareLane reports whether another call that is not cheap leaves enough lanes for
-// those that are.
-func (s *Scheduler) spareLane(now time.Time) bool {
+// allowsCostlyCall reports whether another expensive call leaves enough nodes for cheap ones.
+func (s *Scheduler) allowsCostlyCall(now time.Time) bool {
 	costly := 0
 	for _, l := range s.lanes {
-		if !l.Self && l.costly && now.After(l.until) {
+		if !l.Self && l.hasCostlyCall && now.After(l.pausedUntil) {
 			costly++
 		}
 	}
-	others := s.otherLanes(now)
-	return costly == 0 || costly < others-int(cheapShare*float64(others))
+	remote := s.availableRemoteNodes(now)
+	return costly == 0 || costly < remote-int(reservedCheapShare*float64(remote))
 }
 
-// rank orders lanes: short queues first, and the own lane for cheap calls.
+// rank orders nodes for a call, lowest first: by pending cost, with the owner's own node
+// preferred for cheap calls.
 func (l *lane) rank(cost time.Duration) time.Duration {
-	rank := l.queued
-	if !l.Self && cost <= cheapAdvice {
-		rank += cheapAdvice / 2
+	rank := l.pendingCost
+	if !l.Self && cost <= maxCheapCost {
+		rank += maxCheapCost / 2
 	}
 	return rank
 }
 
-// limit returns how long a call of a cost may take at the lane.
-func (l *lane) limit(cost time.Duration) time.Duration {
-	if cost <= cheapAdvice {
-		return l.queued + cost/2 + cheapSlack
+// timeout returns how long a call of the given cost may take.
+func (l *lane) timeout(cost time.Duration) time.Duration {
+	if cost <= maxCheapCost {
+		return l.pendingCost + cost/2 + cheapCallSlack
 	}
-	return l.queued + cost/2 + adviceSlack
+	return l.pendingCost + cost/2 + costlyCallSlack
 }
 
-// begin and end note a call that is under way.
-func (l *lane) begin(cost time.Duration) {
-	l.queued += cost
-	l.costly = l.costly || cost > cheapAdvice
+// callStarted records a call in flight, and callEnded its end.
+func (l *lane) callStarted(cost time.Duration) {
+	l.pendingCost += cost
+	l.hasCostlyCall = l.hasCostlyCall || cost > maxCheapCost
 }
 
-func (l *lane) end(cost time.Duration) {
-	l.queued -= cost
-	if cost > cheapAdvice {
-		l.costly = false
+func (l *lane) callEnded(cost time.Duration) {
+	l.pendingCost -= cost
+	if cost > maxCheapCost {
+		l.hasCostlyCall = false
 	}
 }
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -11,40 +11,40 @@
 	"chutereach/urgency"
 )
 
-// pass is one look at all that could be placed.
+// pass is the state of one scheduling pass, which tries to place all waiting steps once.
 type pass struct {
-	now     time.Time
-	times   WorkerTimes
-	halls   evacuation.View // the evacuated ones get nothing
-	serial  uint64
-	grew    map[string]uint64        // the latest growth of a worker, by service
-	pools   map[string][]*worker     // usable workers by service, the most free first
-	blocked map[*worker]bool         // kept free for a gang that waits
-	trusted bool                     // workers that are not listed may live
-	gangs   int                      // that wait with workers kept free
-	held    bool                     // the candidate at hand was kept off a worker
-	wide    []*step                  // that wait, and to which patient steps leave room
-	gaps    map[string]headroom.Gaps // by service
-	sparing map[string]sparing       // by service
-	// kept is for which of its steps an account's quota is kept.
-	kept map[*accountState]*step
-	// quotaSought are the accounts of which some tasks were asked to give way to others.
-	quotaSought map[*accountState]bool
-	granted     []*task // of the candidate at hand
-	made        int     // steps for which room was sought by preemption
+	now             time.Time
+	workerTimes     WorkerTimes
+	halls           evacuation.View // workers in evacuated halls get no tasks
+	serial          uint64
+	lastGrowth      map[string]uint64        // serial of the last pass in which a worker gained capacity, by service
+	pools           map[string][]*worker     // usable workers by service, sorted by descending free CPU
+	blocked         map[*worker]bool         // blocked for a waiting gang
+	includeUnlisted bool                     // unlisted workers may still be alive
+	blockingGangs   int                      // waiting gangs with blocked workers
+	withheld        bool                     // a worker was withheld from the current candidate
+	waitingGangs    []*step                  // gangs that patient steps defer to
+	headroom        map[string]headroom.Gaps // by service
+	sparing         map[string]sparing       // by service
+	// quotaReservedFor is the gang that the rest of an account's quota is reserved for.
+	quotaReservedFor map[*accountState]*step
+	// quotaPreemptionTried holds the accounts whose own tasks were considered for preemption.
+	quotaPreemptionTried map[*accountState]bool
+	granted              []*task // tasks of the current candidate
+	preemptionAttempts   int     // steps for which preemption was tried
 }
 
-func newPass(now time.Time, serial uint64, trusted bool, times WorkerTimes, halls evacuation.View) *pass {
+func newPass(now time.Time, serial uint64, includeUnlisted bool, times WorkerTimes, halls evacuation.View) *pass {
 	return &pass{
-		now: now, serial: serial, trusted: trusted, times: times, halls: halls, pools: map[string][]*worker{}, grew: map[string]uint64{},
-		gaps: map[string]headroom.Gaps{}, blocked: map[*worker]bool{}, sparing: map[string]sparing{}, kept: map[*accountState]*step{},
-		quotaSought: map[*accountState]bool{},
+		now: now, serial: serial, includeUnlisted: includeUnlisted, workerTimes: times, halls: halls, pools: map[string][]*worker{}, lastGrowth: map[string]uint64{},
+		headroom: map[string]headroom.Gaps{}, blocked: map[*worker]bool{}, sparing: map[string]sparing{}, quotaReservedFor: map[*accountState]*step{},
+		quotaPreemptionTried: map[*accountState]bool{},
 	}
 }
 
-// add puts a worker into its pool, if it is usable.
+// add adds a worker to the pool of its service if it is usable.
 func (p *pass) add(w *worker) {
-	usable := w.usable(p.now, p.trusted) && !p.halls.Covers(w.info.Zone)
+	usable := w.usable(p.now, p.includeUnlisted) && !p.halls.Covers(w.info.Zone)
 	former := w.standing
 	w.standing = w.health.reliability.Standing(p.now)
 	if usable && (!w.wasUsable || w.freed || w.standing < former) {
@@ -55,13 +55,13 @@
 		w.usableIn = p.serial
 		service := w.info.Service
 		p.pools[service] = append(p.pools[service], w)
-		p.spare(w)
-		p.grew[service] = max(p.grew[service], w.grew)
+		p.recordStanding(w)
+		p.lastGrowth[service] = max(p.lastGrowth[service], w.grew)
 	}
 }
 
-// spare counts a usable worker, by how far it can be relied on.
-func (p *pass) spare(w *worker) {
+// recordStanding counts a usable worker, and whether it is spared for poor reliability.
+func (p *pass) recordStanding(w *worker) {
 	count := p.sparing[w.info.Service]
 	count.all++
 	if w.standing >= reliability.Probing {
@@ -70,7 +70,7 @@
 	p.sparing[w.info.Service] = count
 }
 
-// sortPools puts the workers with the most free processors first.
+// sortPools sorts each pool by descending free CPU.
 func (p *pass) sortPools() {
 	for _, pool := range p.pools {
 		slices.SortFunc(pool, func(a, b *worker) int {
@@ -79,65 +79,66 @@
 	}
 }
 
-// open reports whether the step may go to the worker now, room apart.
-func (p *pass) open(c candidate, w *worker) bool {
+// mayPlace reports whether the step may be placed on the worker now, regardless of free
+// capacity. It sets p.withheld if a trial, a reservation or headroom for gangs prevents it.
+func (p *pass) mayPlace(c candidate, w *worker) bool {
 	if !c.step.allows(w) || !p.relies(w, c.step.spec.Gang) {
 		return false
 	}
 	if w.trial.against(c.step.job, p.now) {
-		p.held = true
+		p.withheld = true
 		return false
 	}
-	if c.urgency.Patient && (p.leavesTo(c.step, w) || p.keepsGap(c.step, w)) {
-		p.held = true
+	if c.urgency.Patient && (p.defersToGang(c.step, w) || p.keepsHeadroom(c.step, w)) {
+		p.withheld = true
 		return false
 	}
-	if c.urgency.Rank != urgency.UrgentInTime && (w.reserved.against(c.step, p.now) || p.blocked[w]) {
-		p.held = true
+	if c.urgency.Rank != urgency.UrgentInTime && (w.reserved.excludes(c.step, p.now) || p.blocked[w]) {
+		p.withheld = true
 		return false
 	}
 	return true
 }
 
-// mostWide bounds the wide steps to which patient ones leave room.
-const mostWide = 4
+// maxWaitingGangs limits the waiting gangs that patient steps defer to.
+const maxWaitingGangs = 4
 
-// noteWide notes a gang that is in time and has found no room. It comes after all that is more
-// urgent.
+// noteWide records a gang that can still complete in time but could not be placed. Candidates
+// are placed in order of urgency, so only less urgent steps defer to it.
 func (p *pass) noteWide(c candidate) {
-	if c.step.spec.Gang && c.urgency.InTime() && len(p.wide) < mostWide && c.step.anyWaiting() {
-		p.wide = append(p.wide, c.step)
+	if c.step.spec.Gang && c.urgency.InTime() && len(p.waitingGangs) < maxWaitingGangs && c.step.anyWaiting() {
+		p.waitingGangs = append(p.waitingGangs, c.step)
 	}
 }
 
-// leavesTo reports whether a patient step leaves a worker to a wide one of a queue that goes
-// first: the worker has room for a task of that, and is not known not to run it. Without this
-// 7,400 statements' tasks of a calm day were stopped for gangs moments after they had begun.
-func (p *pass) leavesTo(st *step, w *worker) bool {
-	for _, wide := range p.wide {
-		first := wide.job.record.Queue.Priority < st.job.record.Queue.Priority
-		if first && wide.mayRunOn(w) && wide.fittingInto(w.free(), w) > 0 {
+// defersToGang reports whether a patient step leaves a worker to a waiting gang of a queue
+// with higher priority: one that has a task that fits there and is not known to be
+// ineligible. Otherwise the step's tasks would soon be preempted for the gang.
+func (p *pass) defersToGang(st *step, w *worker) bool {
+	for _, gang := range p.waitingGangs {
+		higherPriority := gang.job.record.Queue.Priority < st.job.record.Queue.Priority
+		if higherPriority && gang.mayRunOn(w) && gang.fitCount(w.free(), w) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// mayRunOn reports whether the advice known so far lets the step run on the worker.
+// mayRunOn reports whether the worker is eligible for the step or not asked about yet.
 func (st *step) mayRunOn(w *worker) bool {
 	return !st.advice.asked[w] || st.advice.at[w] != nil
 }
 
-// slots returns how many tasks of the step the worker has room for now.
+// slots returns how many tasks of the step can be placed on the worker now.
 func (p *pass) slots(c candidate, w *worker) int {
 	st := c.step
-	if !p.open(c, w) {
+	if !p.mayPlace(c, w) {
 		return 0
 	}
-	return st.fittingInto(w.free(), w)
+	return st.fitCount(w.free(), w)
 }
 
-// allows reports whether the step may run on the worker at all, room apart.
+// allows reports whether the worker's service, labels and total capacity suit the step.
 func (st *step) allows(w *worker) bool {
 	return w.info.Service == st.job.record.Queue.Service && w.info.HasLabel(st.spec.Label) &&
 		st.spec.Need.Fits(w.info.Capacity)
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -10,43 +10,44 @@
 	"chutereach/reliability"
 )
 
-// place places a step's tasks as far as there is room.
+// place places as many of a step's tasks as possible.
 func (s *Scheduler) place(p *pass, c candidate) {
 	st := c.step
 	if st.spec.Gang || st.spec.SameRack {
-		s.placeTogether(p, c)
+		s.placeAllOrNothing(p, c)
 		return
 	}
 	if st.suspected {
 		s.placeOnTrial(p, c)
 		return
 	}
-	if st.tried >= p.grew[st.job.record.Queue.Service] {
+	if st.tried >= p.lastGrowth[st.job.record.Queue.Service] {
 		return
 	}
-	p.held = false
+	p.withheld = false
 	tasks := c.waiting()
 	for i, t := range tasks {
 		w := s.bestWorker(p, c, t)
 		if w == nil {
-			st.noRoom(p)
-			s.makeRoom(p, c, len(tasks)-i)
+			st.recordNoCapacity(p)
+			s.preempt(p, c, len(tasks)-i)
 			return
 		}
 		s.grant(p, t, w, t.attempt+1)
 	}
-	st.releaseRoom()
+	st.releaseReservations()
 }
 
-// noRoom notes that no worker takes more of the step, until one has more room or
-// there is new advice. Workers that are kept free say nothing.
-func (st *step) noRoom(p *pass) {
-	if !p.held {
+// recordNoCapacity marks the step as not placeable until a worker gains capacity or new advice
+// arrives. If a worker was withheld in this pass, the step is tried again in the next one.
+func (st *step) recordNoCapacity(p *pass) {
+	if !p.withheld {
 		st.tried = p.serial
 	}
 }
 
-// bestWorker returns the worker for a task of a step, or nil.
+// bestWorker returns the worker with the lowest score for a task of a step, or nil if none can
+// take it.
 func (s *Scheduler) bestWorker(p *pass, c candidate, t *task) *worker {
 	var best *worker
 	bestScore := 0.0
@@ -54,7 +55,7 @@
 		if w.grew <= c.step.tried || p.slots(c, w) < 1 || !p.relies(w, t.last()) {
 			return
 		}
-		place := s.placeOf(c.step, w, p.now)
+		place := s.fitPlace(c.step, w, p.now)
 		place.FailedHere = t.failedOn == w
 		score := fit.Score(place)
 		if best == nil || score < bestScore {
@@ -64,13 +65,13 @@
 	return best
 }
 
-// scoreOf rates a worker for a task of a step; the lowest is the best.
-func (s *Scheduler) scoreOf(st *step, w *worker, now time.Time) float64 {
-	return fit.Score(s.placeOf(st, w, now))
+// workerScore rates a worker for a task of a step; lower is better.
+func (s *Scheduler) workerScore(st *step, w *worker, now time.Time) float64 {
+	return fit.Score(s.fitPlace(st, w, now))
 }
 
-// placeOf returns a worker as its fitness for a task of a step depends on it.
-func (s *Scheduler) placeOf(st *step, w *worker, now time.Time) fit.Place {
+// fitPlace returns the properties of a worker that fit.Score rates for a task of a step.
+func (s *Scheduler) fitPlace(st *step, w *worker, now time.Time) fit.Place {
 	place := fit.Place{
 		Capacity: w.info.Capacity, Left: w.free().Minus(st.need()), Unsound: w.standing != reliability.Sound,
 		Failures: w.health.reliability.Share(now), Slowness: w.health.slowness(s.fleetSpeed, now),
@@ -81,8 +82,7 @@
 	return place
 }
 
-// grant gives a task room on a worker; once that is in the store, the worker is
-// told to start it.
+// grant assigns a task to a worker. The start is sent once the grant is stored.
 func (s *Scheduler) grant(p *pass, t *task, w *worker, attempt int) {
 	now := p.now
 	j := t.step.job
@@ -93,15 +93,15 @@
 	}
 	before := w.free()
 	w.host(t, taskGranted)
-	p.takeGap(w, before)
+	p.useHeadroom(w, before)
 	s.metrics.grants.Add(1)
 	s.change(j)
 	j.onceSaved(func() { s.begin(t, attempt) })
 	p.granted = append(p.granted, t)
 }
 
-// logGranted writes one line for all tasks of a step that were placed in this look:
-// INDEX#ATTEMPT@WORKER each, and the age of the oldest report that they rest on.
+// logGranted logs the tasks of a step that were placed in this pass as INDEX#ATTEMPT@WORKER,
+// with the age of the oldest worker report that the placement relied on.
 func (s *Scheduler) logGranted(p *pass, c candidate) {
 	if len(p.granted) == 0 {
 		return
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -8,64 +8,66 @@
 	"chutereach/resource"
 )
 
-// Preemption: a step whose job can still be completed in time, and for which there
-// is no room, has tasks of queues with a lesser priority stopped. Only tasks that
-// save their work at a stop give way, and only of jobs that stay in time all the
-// same or are late already, so that little is lost. Gangs never give way: to stop
-// one member is to stop all.
+// Preemption: if an urgent step can still complete in time but cannot be placed,
+// tasks of queues with lower priority are stopped for it. Only tasks that write a
+// checkpoint when stopped are preempted, and only if their job remains in time or
+// is late already. Gangs are never preempted, since stopping one member stops all.
 
-// WorkerTimes are what workers take to stop a task and to carry one on from its checkpoint.
+// WorkerTimes are the times that workers take to stop a task and to restore one from its
+// checkpoint.
 type WorkerTimes struct{ Stop, Restore time.Duration }
 
-// defaultTimes are those of most deployments at hand.
+// defaultTimes applies if the configuration has no worker times.
 var defaultTimes = WorkerTimes{Stop: 400 * time.Millisecond, Restore: 250 * time.Millisecond}
 
-// stopped is how long a task that gives way takes to end, at most, with its report.
-func (w WorkerTimes) stopped() time.Duration { return w.Stop + reportTime }
+// stopped returns the maximum time until the end of a preempted task is reported.
+func (w WorkerTimes) stopped() time.Duration { return w.Stop + reportDelay }
 
-// reserved is for how long the room of tasks that gave way is kept for the step that they
-// gave way to. Kept for 0.9 s where a stop takes 0.9 s, it was given up just as it was free.
-func (w WorkerTimes) reserved() time.Duration { return w.Stop + placeTime }
+// reserved returns how long the capacity of preempted tasks is reserved for the step that they
+// were preempted for. It must exceed the stop time, or the reservation would end before the
+// capacity is free.
+func (w WorkerTimes) reserved() time.Duration { return w.Stop + placementDelay }
 
-// resumed is what giving way costs a task, at most: its stop, the wait for another place and
-// the restart from its checkpoint.
-func (w WorkerTimes) resumed() time.Duration { return w.Stop + w.Restore + otherPlace }
+// resumed returns the delay that preemption causes a task: its stop, the wait for another
+// worker and the restore from its checkpoint.
+func (w WorkerTimes) resumed() time.Duration { return w.Stop + w.Restore + requeueDelay }
 
 const (
-	// reportTime is how long the end of a stopped task takes to be heard of, and placeTime
-	// how long after its stop its room should be taken, looks at others included.
-	reportTime = 100 * time.Millisecond
-	placeTime  = 500 * time.Millisecond
-	// otherPlace is how long a task that gave way waits for another place, mostly.
-	otherPlace = 1850 * time.Millisecond
-	// leastRun is how long a task runs before it may give way, and mostPreempted
-	// how often it does.
-	leastRun      = 200 * time.Millisecond
-	mostPreempted = 2
-	// mostAttempts bounds the steps for which one look tries to make room.
-	mostAttempts = 8
+	// reportDelay is how long the report of a stopped task's end takes, and placementDelay
+	// how long after a stop the freed capacity should be in use, including the scheduling
+	// passes in between.
+	reportDelay    = 100 * time.Millisecond
+	placementDelay = 500 * time.Millisecond
+	// requeueDelay is the usual time until a preempted task is placed again.
+	requeueDelay = 1850 * time.Millisecond
+	// minRunTime is how long a task runs before it may be preempted, and maxPreemptions how
+	// often a task may be preempted.
+	minRunTime     = 200 * time.Millisecond
+	maxPreemptions = 2
+	// maxPreemptionAttempts limits the steps for which one pass tries preemption.
+	maxPreemptionAttempts = 8
 )
 
-// reservation keeps a worker's room for a step.
+// reservation reserves a worker's capacity for a step.
 type reservation struct {
 	step  *step
 	until time.Time
 }
 
-// against reports whether the room is kept for another step than st.
-func (r reservation) against(st *step, now time.Time) bool {
+// excludes reports whether the capacity is reserved for a step other than st.
+func (r reservation) excludes(st *step, now time.Time) bool {
 	return r.step != nil && r.step != st && now.Before(r.until)
 }
 
-// yields returns the worker's tasks that may give way, those with the most time
-// first.
-func (p *pass) yields(w *worker) []*task {
+// preemptibleTasks returns the worker's tasks that may be preempted, latest deadline first. The
+// result is cached for the pass.
+func (p *pass) preemptibleTasks(w *worker) []*task {
 	if w.yieldsIn == p.serial {
 		return w.yields
 	}
 	w.yieldsIn, w.yields = p.serial, w.yields[:0]
 	for _, t := range w.tasks {
-		if p.mayYield(t) {
+		if p.preemptible(t) {
 			w.yields = append(w.yields, t)
 		}
 	}
@@ -78,117 +80,120 @@
 	return w.yields
 }
 
-// mayYield reports whether a task may be stopped for others with little loss.
-func (p *pass) mayYield(t *task) bool {
+// preemptible reports whether a task may be preempted: its job remains in time, or is late
+// already.
+func (p *pass) preemptible(t *task) bool {
 	spec, j, now := t.step.spec, t.step.job, p.now
 	if t.state != taskRunning || !spec.Checkpoints || spec.Gang || spec.Lasting || j.record.Request.Timed() {
 		return false
 	}
-	if t.preempted >= mostPreempted || t.crashes.Numbered() || now.Sub(t.begunAt) < leastRun {
+	if t.preempted >= maxPreemptions || t.crashes.Numbered() || now.Sub(t.begunAt) < minRunTime {
 		return false
 	}
 	rest := j.rounds[t.step.round].chainLeft(&j.record.Request) - min(spec.Estimate, now.Sub(t.begunAt))
 	late := !now.Add(rest).Before(j.deadline)
-	return late || now.Add(rest+p.times.resumed()).Before(j.deadline)
+	return late || now.Add(rest+p.workerTimes.resumed()).Before(j.deadline)
 }
 
-// yieldsTo reports whether a task that may give way does so for a step.
-func (t *task) yieldsTo(st *step) bool {
+// outrankedBy reports whether the step's queue has a higher priority than the task's.
+func (t *task) outrankedBy(st *step) bool {
 	return t.step.job.record.Queue.Priority > st.job.record.Queue.Priority
 }
 
-// slotsWithYields returns how many tasks of the step the worker could take if
-// others gave way.
-func (p *pass) slotsWithYields(c candidate, w *worker) int {
-	if !p.open(c, w) {
+// slotsWithPreemption returns how many tasks of the step the worker could take if its
+// preemptible tasks of lower priority were stopped.
+func (p *pass) slotsWithPreemption(c candidate, w *worker) int {
+	if !p.mayPlace(c, w) {
 		return 0
 	}
-	room := w.free()
-	for _, t := range p.yields(w) {
-		if t.yieldsTo(c.step) {
-			room = room.Plus(t.step.need())
+	free := w.free()
+	for _, t := range p.preemptibleTasks(w) {
+		if t.outrankedBy(c.step) {
+			free = free.Plus(t.step.need())
 		}
 	}
-	return c.step.fittingInto(room, w)
+	return c.step.fitCount(free, w)
 }
 
-// makeRoom stops tasks that give way to a number of the step's tasks, if there are
-// enough of them, and keeps their room for it. The step has found no room.
-func (s *Scheduler) makeRoom(p *pass, c candidate, tasks int) {
+// preempt stops tasks to free capacity for the given number of the step's tasks, and reserves
+// that capacity for the step. It does nothing if preemption cannot free enough.
+func (s *Scheduler) preempt(p *pass, c candidate, tasks int) {
 	st := c.step
-	if p.made >= mostAttempts || !c.urgency.Pressed || p.now.Before(st.roomUntil) {
+	if p.preemptionAttempts >= maxPreemptionAttempts || !c.urgency.Pressed || p.now.Before(st.roomUntil) {
 		return
 	}
-	p.made++
-	offers := s.offers(p, c)
-	if tasksOf(offers) < tasks {
+	p.preemptionAttempts++
+	targets := s.preemptionTargets(p, c)
+	if totalTasks(targets) < tasks {
 		return
 	}
-	st.roomUntil = p.now.Add(p.times.reserved())
+	st.roomUntil = p.now.Add(p.workerTimes.reserved())
 	stopped := 0
-	for _, offer := range offers {
+	for _, target := range targets {
 		if tasks <= 0 {
 			break
 		}
-		wanted := min(tasks, offer.tasks)
+		wanted := min(tasks, target.tasks)
 		tasks -= wanted
-		offer.worker.reserved = reservation{st, st.roomUntil}
-		st.reserved = append(st.reserved, offer.worker)
-		stopped += s.evict(p, c, offer.worker, wanted)
+		target.worker.reserved = reservation{st, st.roomUntil}
+		st.reserved = append(st.reserved, target.worker)
+		stopped += s.preemptOn(p, c, target.worker, wanted)
 	}
 	s.log.Info().Str("job", st.job.id).Str("step", st.stepName()).Int("stopped", stopped).Int("workers", len(st.reserved)).
-		Dur("slack", c.deadline.Sub(p.now)).Msg("room is made")
+		Dur("slack", c.deadline.Sub(p.now)).Msg("preempted tasks for step")
 }
 
-// offers returns the workers that could take tasks of the step if others gave way,
-// those where the least must be stopped first. Their tickets last until then.
-func (s *Scheduler) offers(p *pass, c candidate) []share {
-	var offers []share
+// preemptionTargets returns the workers that could take tasks of the step after preemption,
+// those where the fewest tasks must be stopped first. Workers whose ticket would expire
+// before that are left out.
+func (s *Scheduler) preemptionTargets(p *pass, c candidate) []share {
+	var targets []share
 	c.step.options(p, func(w *worker) {
-		permit := c.step.advice.at[w]
-		if permit != nil && !permit.goodAt(p.now.Add(p.times.stopped())) {
+		ticket := c.step.advice.at[w]
+		if ticket != nil && !ticket.validAt(p.now.Add(p.workerTimes.stopped())) {
 			return
 		}
-		if slots := p.slotsWithYields(c, w); slots > 0 {
-			missing := slots - c.step.fittingInto(w.free(), w)
-			offers = append(offers, share{w, slots, float64(missing) + s.scoreOf(c.step, w, p.now)/scoreScale})
+		if slots := p.slotsWithPreemption(c, w); slots > 0 {
+			missing := slots - c.step.fitCount(w.free(), w)
+			targets = append(targets, share{w, slots, float64(missing) + s.workerScore(c.step, w, p.now)/scoreDivisor})
 		}
 	})
-	slices.SortFunc(offers, byScore)
-	return offers
+	slices.SortFunc(targets, byScore)
+	return targets
 }
 
-// scoreScale makes a worker's score count for less than one task to be stopped.
-const scoreScale = 100
+// scoreDivisor scales a worker's score so that it weighs less than one preempted task.
+const scoreDivisor = 100
 
-// evict stops as few of a worker's tasks as give room to a number of the step's,
-// and returns how many.
-func (s *Scheduler) evict(p *pass, c candidate, w *worker, tasks int) int {
-	room, count := w.free(), 0
-	for _, t := range p.yields(w) {
-		if c.step.fittingInto(room, w) >= tasks {
+// preemptOn stops tasks on a worker until the given number of the step's tasks fit, and returns
+// how many it has stopped.
+func (s *Scheduler) preemptOn(p *pass, c candidate, w *worker, tasks int) int {
+	free, count := w.free(), 0
+	for _, t := range p.preemptibleTasks(w) {
+		if c.step.fitCount(free, w) >= tasks {
 			break
 		}
-		if !t.yieldsTo(c.step) || !helps(c.step.need(), room, t.step.need()) {
+		if !t.outrankedBy(c.step) || !relievesShortage(c.step.need(), free, t.step.need()) {
 			continue
 		}
-		room = room.Plus(t.step.need())
+		free = free.Plus(t.step.need())
 		t.preempted++
 		count++
 		s.metrics.preempted.Add(1)
-		s.stop(t, "gives way to job "+c.step.job.id)
+		s.stop(t, "preempted by job "+c.step.job.id)
 	}
 	return count
 }
 
-// helps reports whether an amount that is freed is of a kind that is short.
-func helps(need, room, freed resource.Amount) bool {
-	return room.CPU < need.CPU && freed.CPU > 0 || room.Memory < need.Memory && freed.Memory > 0 ||
-		room.Accelerators < need.Accelerators && freed.Accelerators > 0 || need.Fits(room)
+// relievesShortage reports whether freeing an amount helps: it adds to a resource that is short,
+// or one task fits already and capacity for more is wanted.
+func relievesShortage(need, free, freed resource.Amount) bool {
+	return free.CPU < need.CPU && freed.CPU > 0 || free.Memory < need.Memory && freed.Memory > 0 ||
+		free.Accelerators < need.Accelerators && freed.Accelerators > 0 || need.Fits(free)
 }
 
-// releaseRoom gives up what was kept for the step.
-func (st *step) releaseRoom() {
+// releaseReservations releases the capacity reserved for the step.
+func (st *step) releaseReservations() {
 	for _, w := range st.reserved {
 		if w.reserved.step == st {
 			w.reserved = reservation{}
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -10,42 +10,42 @@
 	"chutereach/urgency"
 )
 
-// Quotas: a step may be given as many tasks as its account's quota has left when its turn
-// comes, so that a wide step goes in waves. A step that its quota holds back is passed over:
-// it takes no place from others, has no room kept and nobody of another account stopped for
-// it, and no advice is asked. Its account's own lesser work may give way to it.
+// Quotas: a step may start as many tasks as its account's quota allows when the pass reaches
+// it, so a large step may run in several waves. A step held back by the quota is skipped: it
+// blocks and reserves no workers, preempts no tasks of other accounts and requests no advice.
+// It may preempt tasks of its own account that have a lower priority.
 
 // allowed returns how many of the step's waiting tasks its account may start now. A gang is
-// allowed whole or not at all.
+// allowed either as a whole or not at all.
 func (st *step) allowed() int {
-	count := st.job.account.fitting(st, st.left)
+	count := st.job.account.maxStarts(st, st.left)
 	if st.spec.Gang && count < st.left {
 		return 0
 	}
 	return count
 }
 
-// held reports whether the quota of its account holds a candidate back, and otherwise notes
-// how many tasks it may be given. The lock is held.
+// held reports whether a candidate is held back by its account's quota. It sets the number of
+// tasks that the candidate may start. The caller holds the lock.
 func (s *Scheduler) held(p *pass, c *candidate) bool {
 	st := c.step
 	c.allowed = st.allowed()
 	switch {
 	case c.allowed == 0:
-		s.noteHeld(st, p.now)
-		s.makeQuota(p, *c)
-		p.keepQuota(*c)
+		s.recordHeld(st, p.now)
+		s.preemptForQuota(p, *c)
+		p.reserveQuota(*c)
 		return true
-	case p.keptFor(c):
-		s.noteHeld(st, p.now)
+	case p.quotaReserved(c):
+		s.recordHeld(st, p.now)
 		return true
 	}
-	s.noteAllowed(st, p.now)
+	s.recordAllowed(st, p.now)
 	return false
 }
 
-// noteHeld writes a line when a step begins to be held back.
-func (s *Scheduler) noteHeld(st *step, now time.Time) {
+// recordHeld logs and counts a step that begins to wait for its account's quota.
+func (s *Scheduler) recordHeld(st *step, now time.Time) {
 	if !st.heldAt.IsZero() {
 		return
 	}
@@ -57,7 +57,7 @@
 		Msg("waits for its account's quota")
 }
 
-func (s *Scheduler) noteAllowed(st *step, now time.Time) {
+func (s *Scheduler) recordAllowed(st *step, now time.Time) {
 	if st.heldAt.IsZero() {
 		return
 	}
@@ -67,35 +67,35 @@
 }
 
 const (
-	// keepsWhole is for how long an account's lesser steps wait for a gang of it that does not
-	// fit, whatever they would leave: most tasks end within it. A job must not stand still
-	// for 3 s while its account has half of its quota left.
-	keepsWhole = 2 * time.Second
-	// keepsFrom is the share of the quota in use from which on they wait for longer.
-	keepsFrom = 0.6
+	// gangQuotaHold is how long other steps of an account may start before a gang that does
+	// not fit its quota, while less than gangQuotaHoldShare of the quota is in use. After
+	// that, or with more in use, the rest of the quota is reserved for the gang.
+	gangQuotaHold      = 2 * time.Second
+	gangQuotaHoldShare = 0.6
 )
 
-// keepQuota has what its account has left kept for a gang that does not fit, from steps that
-// come after it: otherwise they would use it up whenever one of their tasks ends.
-func (p *pass) keepQuota(c candidate) {
+// reserveQuota reserves the rest of an account's quota for a gang that does not fit, so that
+// less urgent steps do not use it up whenever one of the account's tasks ends.
+func (p *pass) reserveQuota(c candidate) {
 	st := c.step
 	a := st.job.account
-	if !st.spec.Gang || !c.urgency.InTime() || p.kept[a] != nil {
+	if !st.spec.Gang || !c.urgency.InTime() || p.quotaReservedFor[a] != nil {
 		return
 	}
-	if p.now.Sub(st.heldAt) < keepsWhole || a.dominant() >= keepsFrom {
-		p.kept[a] = st
+	if p.now.Sub(st.heldAt) < gangQuotaHold || a.dominantShare() >= gangQuotaHoldShare {
+		p.quotaReservedFor[a] = st
 	}
 }
 
-// keptFor reports whether what the account has left is kept for another of its steps.
-func (p *pass) keptFor(c *candidate) bool {
-	kept := p.kept[c.step.job.account]
-	return kept != nil && kept != c.step && c.urgency.MayWait && c.urgency.Rank != urgency.UrgentInTime
+// quotaReserved reports whether the rest of the account's quota is reserved for another
+// step and the candidate can wait.
+func (p *pass) quotaReserved(c *candidate) bool {
+	reservedFor := p.quotaReservedFor[c.step.job.account]
+	return reservedFor != nil && reservedFor != c.step && c.urgency.MayWait && c.urgency.Rank != urgency.UrgentInTime
 }
 
-// dominant returns the largest share that an account has in use of any part of its quota.
-func (a *accountState) dominant() float64 {
+// dominantShare returns the largest share of the quota that the account uses of any resource.
+func (a *accountState) dominantShare() float64 {
 	part := func(used, bound int64) float64 {
 		if bound == 0 {
 			return 0
@@ -110,42 +110,43 @@
 	)
 }
 
-// makeQuota stops tasks of its own account that give way to a step which the quota holds
-// back, if enough of it can be had so.
-func (s *Scheduler) makeQuota(p *pass, c candidate) {
+// preemptForQuota stops tasks of the same account for a step that is held back by the quota, if
+// that frees enough of it.
+func (s *Scheduler) preemptForQuota(p *pass, c candidate) {
 	st, a := c.step, c.step.job.account
-	if p.quotaSought[a] || !c.urgency.Pressed || p.now.Before(st.roomUntil) {
+	if p.quotaPreemptionTried[a] || !c.urgency.Pressed || p.now.Before(st.roomUntil) {
 		return
 	}
-	p.quotaSought[a] = true // for its most urgent step only
+	p.quotaPreemptionTried[a] = true // once per pass, for the most urgent step
 	wanted := 1
 	if st.spec.Gang {
 		wanted = st.left
 	}
-	giving := a.givingWay(p, c, wanted)
-	if giving == nil {
+	victims := a.quotaVictims(p, c, wanted)
+	if victims == nil {
 		return
 	}
-	st.roomUntil = p.now.Add(p.times.reserved())
-	for _, t := range giving {
+	st.roomUntil = p.now.Add(p.workerTimes.reserved())
+	for _, t := range victims {
 		t.preempted++
 		s.metrics.preempted.Add(1)
-		s.stop(t, "gives way within its account to job "+st.job.id)
+		s.stop(t, "preempted within its account by job "+st.job.id)
 	}
-	s.log.Info().Str("job", st.job.id).Str("step", st.stepName()).Str("account", a.terms.Name).Int("stopped", len(giving)).
-		Dur("slack", c.deadline.Sub(p.now)).Msg("quota is made")
+	s.log.Info().Str("job", st.job.id).Str("step", st.stepName()).Str("account", a.terms.Name).Int("stopped", len(victims)).
+		Dur("slack", c.deadline.Sub(p.now)).Msg("preempted tasks for account quota")
 }
 
-// givingWay returns the account's tasks, as few as possible, whose end lets it start a number
-// of a step's; nil if they do not suffice.
-func (a *accountState) givingWay(p *pass, c candidate, wanted int) []*task {
+// quotaVictims returns the shortest list of the account's preemptible tasks, latest deadline
+// first, whose end lets it start the wanted number of the step's tasks, or nil if all of them
+// do not suffice.
+func (a *accountState) quotaVictims(p *pass, c candidate, wanted int) []*task {
 	var list []*task
 	used := a.used
-	for t := range a.hosted {
+	for t := range a.placedTasks {
 		switch {
 		case t.state == taskStopping:
-			used = used.Minus(t.step.spec.Need) // it gives way already
-		case t.yieldsTo(c.step) && p.mayYield(t):
+			used = used.Minus(t.step.spec.Need) // its quota is about to be released
+		case t.outrankedBy(c.step) && p.preemptible(t):
 			list = append(list, t)
 		}
 	}
