--- a/scheduler/calls.go
+++ b/scheduler/calls.go
@@ -9,34 +9,35 @@
 	"chutereach/workload"
 )
 
-// OverloadedError says that a job was not taken and never will be under this
-// handing in.
+// OverloadedError reports that a submission was rejected. The job will not run unless it
+// is submitted again.
 type OverloadedError struct {
 	Why        string
 	RetryAfter time.Duration
 }
 
-func (e *OverloadedError) Error() string { return "not taken: " + e.Why }
+func (e *OverloadedError) Error() string { return "job not accepted: " + e.Why }
 
-// NotJobError says that there is no such job.
+// NotJobError reports that no job has the ID, or that it belongs to another account.
 type NotJobError struct{ ID string }
 
-func (e *NotJobError) Error() string { return fmt.Sprintf("there is no job %s", e.ID) }
+func (e *NotJobError) Error() string { return fmt.Sprintf("job %s not found", e.ID) }
 
-// UnconfirmedError says that the store has not confirmed a change in time; it
-// may come to be.
+// UnconfirmedError reports that a change was not confirmed by the store in time. It may
+// still take effect.
 type UnconfirmedError struct{ Cause error }
 
-func (e *UnconfirmedError) Error() string { return fmt.Sprintf("not confirmed: %v", e.Cause) }
+func (e *UnconfirmedError) Error() string { return fmt.Sprintf("change not confirmed: %v", e.Cause) }
 
 func (e *UnconfirmedError) Unwrap() error { return e.Cause }
 
-// refuseAfter is how long the store may fail before new jobs are refused. Until
-// then a node that the store does answer may take the shard over.
-const refuseAfter = 1200 * time.Millisecond
+// storeDownAfter is how long the store may fail before new jobs are rejected and callers
+// stop waiting for it. Until then another node that the store does answer may take the
+// shard over.
+const storeDownAfter = 1200 * time.Millisecond
 
-// Submit takes a job in, and returns once it is in the store. A job that is
-// known already is the same job, if it is the same account's.
+// Submit accepts a job and returns once it is in the store. It is idempotent: if the
+// account already has a job with the ID, that job is awaited.
 func (s *Scheduler) Submit(ctx context.Context, id string, record workload.Record) error {
 	s.mu.Lock()
 	j := s.jobs[id]
@@ -60,32 +61,32 @@
 		s.mu.Unlock()
 		s.log.Info().Str("job", id).Str("account", record.Account.Name).Msg("refused: another account's job has its id")
 		s.metrics.admission("refused")
-		return &OverloadedError{"the job's id is in use", soonestReturn}
+		return &OverloadedError{"job id " + id + " is in use", defaultRetryAfter}
 	} else {
 		s.metrics.admission("known")
 	}
-	return s.confirmNew(ctx, j)
+	return s.awaitAccepted(ctx, j)
 }
 
-// confirmNew waits until a job that was handed in is in the store, or is known not to be taken.
+// awaitAccepted waits until a submitted job is in the store or has been withdrawn.
 // It releases the lock.
-func (s *Scheduler) confirmNew(ctx context.Context, j *job) error {
-	hopeless := func() error {
+func (s *Scheduler) awaitAccepted(ctx context.Context, j *job) error {
+	abort := func() error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.withdrawHopeless(j, time.Now()) {
-			return &OverloadedError{(&StoreDownError{}).Error(), soonestReturn}
+		if s.withdrawIfLate(j, time.Now()) {
+			return &OverloadedError{(&StoreDownError{}).Error(), defaultRetryAfter}
 		}
 		return nil
 	}
-	return s.confirmUnless(ctx, j, hopeless)
+	return s.awaitSavedUnless(ctx, j, abort)
 }
 
-// soonestReturn is when a caller that was refused may come again, where nothing better is known.
-const soonestReturn = time.Second
+// defaultRetryAfter is the retry delay that rejected submissions report.
+const defaultRetryAfter = time.Second
 
-// logRefused writes a line for a job that was not taken; it names the account if its quota
-// is why. The lock is not held.
+// logRefused logs and counts a rejected submission; the line has the account if the quota
+// was the reason. The lock is not held.
 func (s *Scheduler) logRefused(id string, record workload.Record, err error) {
 	event := s.log.Info().Str("job", id).Str("queue", record.Queue.Name).Err(err)
 	var overQuota *QuotaError
@@ -98,13 +99,13 @@
 	event.Msg("refused")
 }
 
-// admit decides whether a new job is taken. The lock is held.
+// admit returns an error if a new job must be rejected. The lock is held.
 func (s *Scheduler) admit(record workload.Record) error {
 	if s.deposed != nil {
 		return s.deposed
 	}
 	if s.storeIsDown() {
-		return &OverloadedError{(&StoreDownError{}).Error(), soonestReturn}
+		return &OverloadedError{(&StoreDownError{}).Error(), defaultRetryAfter}
 	}
 	a := s.accountOf(record.Account)
 	if err := checkQuota(record.Request, a.terms); err != nil {
@@ -114,32 +115,34 @@
 	return nil
 }
 
-// belongsTo reports whether callers of an account may ask for the job and cancel it. A job
-// without an account, from a public route or from before there were any, is anybody's.
+// belongsTo reports whether callers of an account may query and cancel the job. A job
+// without an account, from a public route or submitted before accounts existed, is open
+// to all callers.
 func (j *job) belongsTo(account string) bool {
 	owner := j.record.Account.Name
 	return owner == "" || owner == account
 }
 
-// confirm waits until a job as it is now is in the store. It releases the lock.
-func (s *Scheduler) confirm(ctx context.Context, j *job) error {
-	return s.confirmUnless(ctx, j, func() error { return nil })
+// awaitSaved waits until the job's current state is in the store. It releases the lock.
+func (s *Scheduler) awaitSaved(ctx context.Context, j *job) error {
+	return s.awaitSavedUnless(ctx, j, func() error { return nil })
 }
 
-// confirmUnless is confirm, and gives up as soon as hopeless returns why.
-func (s *Scheduler) confirmUnless(ctx context.Context, j *job, hopeless func() error) error {
+// awaitSavedUnless is awaitSaved, but returns early when abort, polled every
+// outageCheckInterval, returns an error.
+func (s *Scheduler) awaitSavedUnless(ctx context.Context, j *job, abort func() error) error {
 	if j.saved >= j.generation || (j.saved > 0 && j.savedState == j.state) {
 		s.mu.Unlock()
 		return nil
 	}
 	done := make(chan struct{})
 	j.onceSaved(func() { close(done) })
-	own := s.ctx
+	runCtx := s.ctx
 	s.mu.Unlock()
-	if own == nil {
-		own = context.Background()
+	if runCtx == nil {
+		runCtx = context.Background()
 	}
-	tick := time.NewTicker(outageCheck)
+	tick := time.NewTicker(outageCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -147,10 +150,10 @@
 			return nil
 		case <-ctx.Done():
 			return &UnconfirmedError{ctx.Err()}
-		case <-own.Done():
-			return &UnconfirmedError{context.Cause(own)}
+		case <-runCtx.Done():
+			return &UnconfirmedError{context.Cause(runCtx)}
 		case <-tick.C:
-			if err := hopeless(); err != nil {
+			if err := abort(); err != nil {
 				return err
 			}
 			if s.storeIsDown() {
@@ -160,21 +163,22 @@
 	}
 }
 
-// outageCheck is how often a caller that waits for the store is spared a wait
-// that has become hopeless.
-const outageCheck = 100 * time.Millisecond
+// outageCheckInterval is how often a caller that waits for the store checks whether to
+// stop waiting.
+const outageCheckInterval = 100 * time.Millisecond
 
-// StoreDownError says that the store has not answered for a while.
+// StoreDownError reports that the store has not answered for longer than storeDownAfter.
 type StoreDownError struct{}
 
 func (e *StoreDownError) Error() string { return "the store does not answer" }
 
+// storeIsDown reports whether the store has failed for longer than storeDownAfter.
 func (s *Scheduler) storeIsDown() bool {
 	since := s.term.FailingSince()
-	return !since.IsZero() && time.Since(since) > refuseAfter
+	return !since.IsZero() && time.Since(since) > storeDownAfter
 }
 
-// Cancel cancels a job of an account and returns once that is in the store.
+// Cancel cancels a job of an account and returns once the cancellation is in the store.
 func (s *Scheduler) Cancel(ctx context.Context, account, id string) error {
 	s.mu.Lock()
 	j := s.jobs[id]
@@ -183,23 +187,24 @@
 		return &NotJobError{id}
 	}
 	if !j.state.Final() {
-		s.finish(j, workload.Cancelled, "its caller cancelled it")
+		s.finish(j, workload.Cancelled, "cancelled by its caller")
 	}
-	return s.confirm(ctx, j)
+	return s.awaitSaved(ctx, j)
 }
 
-// State returns the state of an account's job as the store has it. A job that has just
-// become final is waited for until that is in the store, for who asks seldom asks twice.
+// State returns the stored state of an account's job. If the job is about to become final,
+// or is final only in memory, State waits briefly for the final state to be stored, so that
+// callers need not poll again.
 func (s *Scheduler) State(ctx context.Context, account, id string) (workload.State, error) {
 	s.mu.Lock()
 	j := s.jobs[id]
 	if j != nil && !j.belongsTo(account) {
-		j = nil // to a caller of another account it is not there
+		j = nil // hidden from other accounts
 	}
-	if j != nil && j.underWay() {
+	if j != nil && j.allRunning() {
 		ended := j.ended
 		s.mu.Unlock()
-		timer := time.NewTimer(endWait)
+		timer := time.NewTimer(lastTasksWait)
 		select {
 		case <-ended:
 		case <-timer.C:
@@ -209,9 +214,9 @@
 		s.mu.Lock()
 	}
 	if j != nil && j.state.Final() && !j.savedState.Final() {
-		limited, cancel := context.WithTimeout(ctx, finalWait)
+		limited, cancel := context.WithTimeout(ctx, finalCommitWait)
 		defer cancel()
-		s.confirm(limited, j) // the answer below is true whether it came or not
+		s.awaitSaved(limited, j) // on failure the last stored state is returned
 		s.mu.Lock()
 	}
 	defer s.mu.Unlock()
@@ -226,14 +231,15 @@
 	return workload.Queued, nil
 }
 
-// endWait is how long a caller is kept waiting whose job has all its last tasks
-// under way: the end of one may be on its way here.
-const endWait = 60 * time.Millisecond
+// lastTasksWait is how long State waits for the end of a job whose unfinished tasks are all
+// running.
+const lastTasksWait = 60 * time.Millisecond
 
-// finalWait is how long a caller that asks for a state is kept waiting.
-const finalWait = 300 * time.Millisecond
+// finalCommitWait is how long State waits for a final state to be stored.
+const finalCommitWait = 300 * time.Millisecond
 
-// Pending counts a queue's jobs of which no task has begun.
+// Pending returns the number of a queue's stored jobs of which no task has started. Jobs with
+// due times of their own are not counted.
 func (s *Scheduler) Pending(queue string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/commit.go
+++ b/scheduler/commit.go
@@ -15,42 +15,45 @@
 	progressTable = "progress"
 )
 
-// maxEntries bounds a transaction's entries for jobs; the owner's row takes two,
-// and a job three at most.
-const maxEntries = rowstore.MaxEntries - 5
+// maxJobEntries bounds the entries for jobs in a transaction. The owner's row takes two
+// more, and the last job may exceed the bound.
+const maxJobEntries = rowstore.MaxEntries - 5
 
 const (
-	// maxSingly is from how many changed jobs on they are written in bundles.
-	maxSingly = 60
-	// maxDeadAtOnce bounds the bundles that one transaction deletes.
-	maxDeadAtOnce = 10
+	// bundleThreshold is the number of changed jobs above which they are written in
+	// bundles.
+	bundleThreshold = 60
+	// maxBundleDeletes bounds the bundles deleted by one transaction.
+	maxBundleDeletes = 10
 )
 
 const (
-	// leastCommitGap is the least time between the starts of two transactions, so
-	// that changes share them: each call to the store has its price.
+	// leastCommitGap is the minimum time between the starts of two transactions, so
+	// that changes share a transaction.
 	leastCommitGap = 20 * time.Millisecond
-	// writesShare is the owner's share of what the store takes of its partition; the
-	// rest is for transactions that are sent again, and for a successor.
-	writesShare = 0.5
+	// ownerWriteShare is the share of the partition's write rate that the owner uses.
+	// The rest is left for retries and for the next owner.
+	ownerWriteShare = 0.5
 )
 
-// commitGapFor returns the least time between two transactions at a store that takes
-// a number of them a second, or 0 if that is not known.
+// commitGapFor returns the minimum time between two transactions for a store that
+// accepts writes transactions per second; 0 means unknown.
 func commitGapFor(writes float64) time.Duration {
 	if writes <= 0 {
 		return leastCommitGap
 	}
-	return max(leastCommitGap, time.Duration(float64(time.Second)/(writes*writesShare)))
+	return max(leastCommitGap, time.Duration(float64(time.Second)/(writes*ownerWriteShare)))
 }
 
-// slowCommit is from when on a transaction is worth a line in the log.
-const slowCommit = 400 * time.Millisecond
+// slowCommitThreshold is the duration above which a transaction is logged as slow.
+const slowCommitThreshold = 400 * time.Millisecond
 
-// idleCommit is how often an owner without changes shows that it lives.
-const idleCommit = 250 * time.Millisecond
+// idleCommitInterval is how often an owner without changes commits an empty transaction
+// to confirm its term.
+const idleCommitInterval = 250 * time.Millisecond
 
-// change queues a job for the next transaction. The lock is held.
+// change records a change of a job and queues the job for the next transaction. The lock
+// is held.
 func (s *Scheduler) change(j *job) {
 	j.generation++
 	if !j.queued {
@@ -60,15 +63,15 @@
 	wake(s.commitWake)
 }
 
-// onceSaved does something once the job as it is now is in the store. The lock
-// is held, now and then.
+// onceSaved calls do once the job's current generation is in the store. The lock is
+// held, both now and during the call.
 func (j *job) onceSaved(do func()) {
 	j.afterSave = append(j.afterSave, saveAction{j.generation, do})
 }
 
-// commitLoop writes changes until ctx ends or the term does.
+// commitLoop writes changes until ctx is done or the term ends.
 func (s *Scheduler) commitLoop(ctx context.Context) error {
-	idle := time.NewTimer(idleCommit)
+	idle := time.NewTimer(idleCommitInterval)
 	defer idle.Stop()
 	last := time.Time{}
 	for {
@@ -78,39 +81,40 @@
 		case <-s.commitWake:
 		case <-idle.C:
 		}
-		wait.For(ctx, s.commitGap-time.Since(last))
+		wait.For(ctx, s.commitInterval-time.Since(last))
 		last = time.Now()
 		select {
-		case s.commitTurn <- struct{}{}:
+		case s.commitSlot <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		err := s.commitOnce(ctx)
-		<-s.commitTurn
+		<-s.commitSlot
 		if err != nil {
 			return err
 		}
-		idle.Reset(idleCommit)
+		idle.Reset(idleCommitInterval)
 	}
 }
 
-// written is what one transaction says of a job.
+// written is the state of a job that a transaction writes.
 type written struct {
 	job        *job
 	generation uint64
 	state      workload.State
-	bundle     *bundle // that it was written into; nil: a row of its own
+	bundle     *bundle // nil if the job is written to rows of its own
 }
 
+// commitOnce writes one transaction and runs the callbacks that wait for it.
 func (s *Scheduler) commitOnce(ctx context.Context) error {
 	batch, puts, deletes := s.takeDirty()
-	begun := time.Now()
+	started := time.Now()
 	if err := s.term.Commit(ctx, puts, deletes); err != nil {
 		return err
 	}
-	took := time.Since(begun)
+	took := time.Since(started)
 	s.metrics.commit(took, len(batch))
-	if took > slowCommit {
+	if took > slowCommitThreshold {
 		wake(s.dispatchWake)
 		s.log.Warn().Dur("took", took).Int("jobs", len(batch)).Msg("slow transaction")
 	}
@@ -122,7 +126,7 @@
 	for _, w := range s.workers {
 		w.advanceNoted()
 	}
-	if took < slowCommit && len(s.dirty)+unbundleAtOnce <= maxSingly {
+	if took < slowCommitThreshold && len(s.dirty)+unbundleAtOnce <= bundleThreshold {
 		s.unbundle()
 	}
 	if len(s.dirty) > 0 {
@@ -131,40 +135,40 @@
 	return nil
 }
 
-// takeDirty takes as many jobs off the queue as a transaction holds, and encodes
-// their rows.
+// takeDirty dequeues as many changed jobs as fit into a transaction and encodes their
+// rows. Above bundleThreshold it writes them in bundles.
 func (s *Scheduler) takeDirty() ([]written, []rowstore.Put, []rowstore.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var batch []written
 	var puts []rowstore.Put
-	deletes := s.takeDeadBundles()
-	if len(s.dirty) > maxSingly {
+	deletes := s.takeObsoleteBundles()
+	if len(s.dirty) > bundleThreshold {
 		batch, puts = s.takeBundles()
 		return batch, puts, deletes
 	}
-	for len(batch) < len(s.dirty) && len(puts)+len(deletes) < maxEntries {
+	for len(batch) < len(s.dirty) && len(puts)+len(deletes) < maxJobEntries {
 		j := s.dirty[len(batch)]
 		j.queued, j.sent = false, true
 		batch = append(batch, written{job: j, generation: j.generation, state: j.state})
-		jobPuts, jobDeletes := s.rowsOf(j)
+		jobPuts, jobDeletes := s.rowChanges(j)
 		puts, deletes = append(puts, jobPuts...), append(deletes, jobDeletes...)
 	}
 	s.dirty = append(s.dirty[:0], s.dirty[len(batch):]...)
 	return batch, puts, deletes
 }
 
-// takeDeadBundles takes some bundles that nobody needs.
-func (s *Scheduler) takeDeadBundles() []rowstore.Key {
-	count := min(len(s.deadBundles), maxDeadAtOnce)
+// takeObsoleteBundles dequeues bundles to be deleted, at most maxBundleDeletes.
+func (s *Scheduler) takeObsoleteBundles() []rowstore.Key {
+	count := min(len(s.deadBundles), maxBundleDeletes)
 	dead := append([]rowstore.Key(nil), s.deadBundles[:count]...)
 	s.deadBundles = s.deadBundles[count:]
 	return dead
 }
 
-// rowsOf returns what to write of a job. A job of which nothing has begun has no
-// row of progress.
-func (s *Scheduler) rowsOf(j *job) (puts []rowstore.Put, deletes []rowstore.Key) {
+// rowChanges returns the row changes of a job. A job without any progress has no row
+// in the progress table.
+func (s *Scheduler) rowChanges(j *job) (puts []rowstore.Put, deletes []rowstore.Key) {
 	if j.forgotten {
 		return nil, []rowstore.Key{s.key(progressTable, j.id)}
 	}
@@ -182,14 +186,17 @@
 	return puts, deletes
 }
 
-// needsRecord reports whether a successor needs the job's record: while it is not final, and
-// until all that ran of it is over, which counts against its account's quota.
+// needsRecord reports whether the next owner would need the job's record: until the job is
+// final and its last attempt is over. Attempts that are being stopped count against the
+// account's quota.
 func (j *job) needsRecord() bool { return !j.state.Final() || j.hosted > 0 }
 
 func (s *Scheduler) key(table, name string) rowstore.Key {
 	return rowstore.Key{Table: table, Partition: s.shard, Name: name}
 }
 
+// markSaved records that a job's generation is in the store and runs the callbacks that are
+// due. The lock is held.
 func (s *Scheduler) markSaved(w written) {
 	j := w.job
 	j.saved = max(j.saved, w.generation)
@@ -206,6 +213,6 @@
 	}
 	j.afterSave = rest
 	for _, action := range due {
-		action.do()
+		action.run()
 	}
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -9,11 +9,11 @@
 	"chutereach/wait"
 )
 
-// dispatchLoop places tasks whenever something has changed.
+// dispatchLoop runs a dispatch pass after each change and at least every dispatchInterval.
 func (s *Scheduler) dispatchLoop(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
-	cleaned := time.Now()
+	lastHousekeeping := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -25,36 +25,36 @@
 		now := time.Now()
 		s.expireUnseen(now)
 		s.dispatch(now)
-		if now.Sub(cleaned) > housekeeping {
-			cleaned = now
-			s.forgetOld(now)
+		if now.Sub(lastHousekeeping) > housekeepingInterval {
+			lastHousekeeping = now
+			s.prune(now)
 			s.settleListed(now)
 		}
 		took := time.Since(now)
 		s.mu.Unlock()
-		s.metrics.lookTimes.Record(took)
-		wait.For(ctx, max(dispatchGap, dispatchRest*took))
+		s.metrics.dispatchTimes.Record(took)
+		wait.For(ctx, max(minDispatchGap, dispatchIdleFactor*took))
 	}
 }
 
-// dispatchRest is how many times as long as a look takes the owner does other
-// things before the next one: looks take an eighth of the processor at most. Allowed a
-// quarter, they took it at 1,100 workers, whatever a single look cost (BenchmarkOwner).
-const dispatchRest = 7
+// dispatchIdleFactor is the minimum pause between two passes as a multiple of the last
+// pass's duration. It limits dispatch to one eighth of a processor.
+const dispatchIdleFactor = 7
 
-// candidate is a step that has tasks to place.
+// candidate is a step with tasks that can be placed.
 type candidate struct {
 	step     *step
-	tasks    []*task // that wait
-	allowed  int     // how many its account may start now
+	tasks    []*task // waiting tasks that are being placed
+	allowed  int     // number of tasks that the account's quota allows to start now
 	urgency  urgency.Verdict
 	deadline time.Time
 }
 
-// maxBlockingGangs bounds how many waiting gangs have workers kept free.
+// maxBlockingGangs is the maximum number of waiting gangs for which workers are kept free.
 const maxBlockingGangs = 3
 
-// dispatch places what can be placed. The lock is held.
+// dispatch runs one pass: it places waiting tasks in order of urgency, and requests
+// advice for steps with tasks left. The lock is held.
 func (s *Scheduler) dispatch(now time.Time) {
 	if s.paused || s.ctx == nil || s.ctx.Err() != nil {
 		return
@@ -63,15 +63,15 @@
 	if len(list) == 0 {
 		return
 	}
-	s.serial++
-	p := newPass(now, s.serial, s.listIncomplete(now), s.times, s.gate.view())
+	s.passSerial++
+	p := newPass(now, s.passSerial, s.listIncomplete(now), s.times, s.gate.view())
 	for _, w := range s.workers {
 		p.add(w)
 	}
 	p.sortPools()
 	p.countGaps(s.demands)
-	if since := s.term.FailingSince(); !since.IsZero() && now.Sub(since) > holdGrants || !s.viewIsFresh() {
-		s.keepAdvice(p, list)
+	if since := s.term.FailingSince(); !since.IsZero() && now.Sub(since) > maxGrantOutage || !s.viewIsFresh() {
+		s.refreshAdvice(p, list)
 		return
 	}
 	asked := 0
@@ -82,33 +82,33 @@
 		s.place(p, c)
 		s.logGranted(p, c)
 		p.noteWide(c)
-		if c.allowed = c.step.allowed(); c.allowed > 0 && asked < adviceAhead {
+		if c.allowed = c.step.allowed(); c.allowed > 0 && asked < maxAdviceSteps {
 			s.askAdvice(p, c, checkAfter(asked))
 			asked++
 		}
 	}
 }
 
-// waiting returns the tasks that could be placed and that the account may start.
+// waiting returns the tasks that can be placed, as many as the account's quota allows.
 func (c candidate) waiting() []*task {
 	list := c.step.waiting()
 	return list[:min(len(list), c.allowed)]
 }
 
-// adviceAhead is for how many of the most urgent steps tickets are asked; the
-// others could not use theirs before they run out.
-const adviceAhead = 150
+// maxAdviceSteps is the maximum number of steps, in order of urgency, for which a pass
+// requests advice. The tickets of further steps would expire unused.
+const maxAdviceSteps = 150
 
-// holdGrants is how long the store may fail before nothing is granted any more:
-// grants that cannot be written take room and let tickets run out. A slow store
-// answers within it.
-const holdGrants = 900 * time.Millisecond
+// maxGrantOutage is how long the store may fail before granting stops: grants that cannot
+// be written occupy capacity, and their tickets expire.
+const maxGrantOutage = 900 * time.Millisecond
 
-// keepAdvice has tickets at hand for when the store is back.
-func (s *Scheduler) keepAdvice(p *pass, list []candidate) {
+// refreshAdvice requests advice for the most urgent steps while granting is suspended, so
+// that valid tickets are available when it resumes.
+func (s *Scheduler) refreshAdvice(p *pass, list []candidate) {
 	asked := 0
 	for _, c := range list {
-		if asked == adviceAhead {
+		if asked == maxAdviceSteps {
 			return
 		}
 		if c.allowed = c.step.allowed(); c.allowed > 0 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// candidates returns the steps that have tasks to place, most urgent first.
+// candidates returns the steps with tasks that can be placed, most urgent first.
 func (s *Scheduler) candidates(now time.Time) []candidate {
 	var list []candidate
 	for _, j := range s.active {
@@ -136,26 +136,28 @@
 	return list
 }
 
+// byUrgency compares candidates by urgency, and by job ID if that is equal.
 func byUrgency(a, b candidate) int {
 	return cmp.Or(urgency.Compare(a.urgency, b.urgency), cmp.Compare(a.step.job.id, b.step.job.id))
 }
 
+// roundCandidates appends the candidates of a round to list.
 func (s *Scheduler) roundCandidates(list []candidate, r *round, now time.Time) []candidate {
 	for _, st := range r.steps {
 		if st.done() || now.Before(st.retryAt) || !r.ready(st) {
 			continue
 		}
-		if !st.anyWaiting() || st.spec.Gang && (!st.idle() || st.anyHeld()) {
+		if !st.anyWaiting() || st.spec.Gang && (!st.idle() || st.anyHeldByLoss()) {
 			continue
 		}
 		verdict := urgency.Judge(workOf(st, now), now)
-		st.notePressed(verdict.Pressed)
+		st.setMayPreempt(verdict.Pressed)
 		list = append(list, candidate{step: st, urgency: verdict, deadline: st.job.deadline})
 	}
 	return list
 }
 
-// workOf returns a step as its urgency depends on it.
+// workOf returns the properties of a step that determine its urgency.
 func workOf(st *step, now time.Time) urgency.Work {
 	j := st.job
 	return urgency.Work{
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,32 +1,38 @@
-// Package scheduler runs the jobs of one shard on the shard's workers, as its
-// owner. A Scheduler lives for one term; a successor loads a new one from the
-// row store and from the workers' own lists.
+// Package scheduler runs the jobs of one shard on the shard's workers. A
+// Scheduler exists for one leadership term of the shard's owner; the next owner
+// rebuilds the state from the row store and from the workers' reports.
 //
-// # What is written, and when
+// # Write ordering
 //
-// A job's record is in the store before its caller is told that it is accepted.
-// A task's grant (which attempt, on which worker) is in the store before the
-// worker is told to start it, so that a successor knows what may run where. An
-// end is in the store before the worker is allowed to forget it, before the job
-// is shown as final, and in or before the transaction of any start that depends
-// on it. All changes of a moment share a transaction (commit.go).
+// A job's record is in the store before its submitter is told that the job is
+// accepted. A task's grant (which attempt, on which worker) is in the store
+// before the worker is told to start it, so that the next owner knows which
+// attempts may be running where. The end of an attempt is in the store before
+// the worker is allowed to forget it, before the job is reported as final, and
+// no later than the transaction of any start that depends on it. Changes made
+// close together share a transaction (commit.go).
 //
 // # When an attempt is over
 //
-// A task is given to another worker only when its last attempt is over for
-// certain: its end was listed; or the worker answered a stop and a later report
-// did not show it; or another life of the worker answered; or the worker's lease
-// has run out since the last order that could have extended it.
+// A task is given to another worker only after its last attempt is certain to be
+// over, that is, if one of these holds:
+//   - the worker's report listed its end;
+//   - the worker confirmed a stop, and a later report did not list the attempt;
+//   - a later life of the worker answered;
+//   - the worker's lease has expired since the last call that could have
+//     extended it.
 //
-// # Tasks under which workers end
+// # Tasks that crash their workers
 //
-// A worker that has ended lists nothing of what ran there. The owner counts for each
-// task the workers that were lost with it and have ended (crash.go), gives up one with
-// too many, and tries a step under suspicion where another end tells whose doing it is
-// (trial.go).
+// A worker that has ended reports nothing about the tasks that ran on it. The
+// owner counts, for each task, the workers that were lost while running it and
+// have ended (crash.go), and fails the job when a task exceeds the limit. A step
+// under suspicion is placed on trial, so that another crash shows which task
+// causes it (trial.go).
 //
-// # Room
+// # Capacity
 //
-// What a worker has may change while it runs. Room is looked at when a task is placed,
-// and again before its start is first sent; what is being stopped still takes room.
+// A worker's capacity can change while it runs. It is checked when a task is
+// placed and again before the start is first sent. An attempt that is being
+// stopped occupies capacity until it is over.
 package scheduler
--- a/scheduler/evacuated.go
+++ b/scheduler/evacuated.go
@@ -8,31 +8,31 @@
 	"chutereach/fleet"
 )
 
-// Evacuated data halls get nothing new. The view of them is looked at twice: when a task is placed,
-// and each time before its start is sent, for the hall may have been evacuated since. The view of an
-// owner that was cut off, stood still or has only just taken over is stale: with one that is older
-// than maxAge, nothing is placed and no start is sent anywhere.
+// No task starts in an evacuated data hall. The view of evacuations is checked when a task is placed
+// and again each time before its start is sent. The view of an owner that was partitioned or
+// suspended, or has just taken over, can be stale: while it is older than maxAge, no task is placed
+// and no start is sent, in any data hall.
 
-// evacuationGate is what the owner knows of evacuations.
+// evacuationGate checks the view of evacuations before tasks are placed and started.
 type evacuationGate struct {
 	view func() evacuation.View
-	// maxAge is how old the view may be; 0: of any age.
+	// maxAge is the age from which the view is stale; 0 means no limit.
 	maxAge time.Duration
-	// stale is whether the view was too old at the last look, and since when.
+	// stale is whether the view was stale at the last check, and staleSince since when.
 	stale      bool
 	staleSince time.Time
 }
 
 const (
-	// freshShare is how old the view may be, as a share of the time after an evacuation in which
-	// starts may still begin. In the rest a start that was sent reaches its worker.
-	freshShare = 0.9
-	// heldPause is after how long a start that is held back is looked at again.
-	heldPause = 10 * time.Millisecond
+	// maxViewAgeShare is the maximum age of the view as a share of Config.EvacuateWithin. The rest
+	// is for the start to reach the worker.
+	maxViewAgeShare = 0.9
+	// heldStartDelay is the time between two checks of a start that is held back.
+	heldStartDelay = 10 * time.Millisecond
 )
 
 func newEvacuationGate(config Config) evacuationGate {
-	gate := evacuationGate{view: config.Evacuations, maxAge: time.Duration(freshShare * float64(config.EvacuateWithin))}
+	gate := evacuationGate{view: config.Evacuations, maxAge: time.Duration(maxViewAgeShare * float64(config.EvacuateWithin))}
 	if gate.view == nil {
 		gate.view = func() evacuation.View { return evacuation.View{} }
 		gate.maxAge = 0
@@ -40,7 +40,7 @@
 	return gate
 }
 
-// fresh reports whether a view is young enough to start work by.
+// fresh reports whether a view is not stale.
 func (g *evacuationGate) fresh(view evacuation.View, now clock.Instant) bool {
 	if g.maxAge == 0 {
 		return true
@@ -49,8 +49,8 @@
 	return known && age < g.maxAge
 }
 
-// viewIsFresh reports whether work may be placed by what is known of evacuations. It logs when
-// that begins and ceases to be so. The lock is held.
+// viewIsFresh reports whether the view of evacuations is recent enough to place tasks. It logs
+// each transition. The lock is held.
 func (s *Scheduler) viewIsFresh() bool {
 	view, now := s.gate.view(), clock.Now()
 	fresh := s.gate.fresh(view, now)
@@ -64,46 +64,47 @@
 		return true
 	}
 	s.gate.staleSince = now.Time()
-	s.metrics.viewStale.Add(1)
+	s.metrics.staleViews.Add(1)
 	age, _ := view.Age(now)
 	s.log.Warn().Uint64("version", view.Version()).Dur("age", age).Dur("max_age", s.gate.maxAge).
 		Msg("nothing is placed: evacuations are unconfirmed")
 	return false
 }
 
-// Why starts are held back.
+// Reasons why starts are held back, in log lines and metrics.
 const (
-	whyEvacuated   = "its data hall is evacuated"
-	whyUnconfirmed = "evacuations are unconfirmed"
+	reasonEvacuated   = "its data hall is evacuated"
+	reasonUnconfirmed = "evacuations are unconfirmed"
 )
 
-// admitStart decides whether the start of a task may be sent to its worker now. The lock is held.
-func (s *Scheduler) admitStart(t *task, void time.Time) startNext {
+// admitStart decides whether the start of a task may be sent to its worker now. While the view is
+// stale the start is held, until expiry; then it is cancelled. The lock is held.
+func (s *Scheduler) admitStart(t *task, expiry time.Time) startDecision {
 	view, now := s.gate.view(), clock.Now()
 	switch {
 	case view.Covers(t.worker.info.Zone):
-		s.withdrawStart(t, whyEvacuated, view, now)
-		return startOver
+		s.cancelStart(t, reasonEvacuated, view, now)
+		return startAbandon
 	case s.gate.fresh(view, now):
-		return startSent
-	case now.Time().After(void):
-		s.withdrawStart(t, whyUnconfirmed, view, now)
-		return startOver
+		return startSend
+	case now.Time().After(expiry):
+		s.cancelStart(t, reasonUnconfirmed, view, now)
+		return startAbandon
 	}
-	return startHeld
+	return startHold
 }
 
-// withdrawStart takes a grant back whose start must not be sent. If an earlier call may have been
-// carried out, the attempt is stopped. The lock is held.
-func (s *Scheduler) withdrawStart(t *task, why string, view evacuation.View, now clock.Instant) {
+// cancelStart revokes the grant of a task whose start must not be sent. If an earlier call may have
+// reached the worker, the attempt is stopped. The lock is held.
+func (s *Scheduler) cancelStart(t *task, reason string, view evacuation.View, now clock.Instant) {
 	age, _ := view.Age(now)
 	s.log.Info().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
-		Str("worker", t.worker.info.ID).Str("hall", t.worker.info.Zone).Str("why", why).Uint64("version", view.Version()).
+		Str("worker", t.worker.info.ID).Str("hall", t.worker.info.Zone).Str("why", reason).Uint64("version", view.Version()).
 		Dur("age", age).Bool("sent", t.told).Msg("start held back")
-	s.metrics.refused(why)
+	s.metrics.startRefused(reason)
 	if t.told {
-		s.stop(t, why)
+		s.stop(t, reason)
 		return
 	}
-	s.endAttempt(t, fleet.Stopped, "", why)
+	s.endAttempt(t, fleet.Stopped, "", reason)
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -9,15 +9,15 @@
 	"chutereach/workload"
 )
 
-// taskState is where a task stands.
+// taskState is the scheduling state of a task.
 type taskState int
 
 const (
 	taskWaiting  taskState = iota
-	taskGranted            // has room on a worker; the grant is being written
-	taskStarting           // the worker is being told
+	taskGranted            // placed on a worker; the grant is being written
+	taskStarting           // the start is being sent to the worker
 	taskRunning
-	taskStopping // the attempt is unwanted or in doubt, and not yet known to be over
+	taskStopping // the attempt is being stopped and may still be running
 	taskDone
 )
 
@@ -28,21 +28,21 @@
 	state      taskState
 	attempt    int
 	failures   int
-	worker     *worker // where the attempt may be; nil: nowhere
+	worker     *worker // where the attempt is or may be; nil if nowhere
 	checkpoint string
 	ticket     string
 	begunAt    time.Time // when the worker confirmed the attempt
 	stoppedAt  time.Time // when the worker confirmed a stop
-	recovered  bool      // granted by a former owner; not yet seen
+	recovered  bool      // granted by a former owner and not yet reported by its worker
 	percent    int
-	movedAt    time.Time // when percent last rose
-	sampledAt  time.Time // when speed was last measured
-	sampled    int       // percent then
-	failedOn   *worker   // where it failed last
-	movedOnce  bool      // off a worker that had turned slow
-	preempted  int       // how often it gave way
-	told       bool      // the worker may have begun the attempt
-	cutShort   bool      // a call with its start ended with its connection, as when the worker's process ends
+	movedAt    time.Time // when percent last increased or the attempt began
+	sampledAt  time.Time // time of the last speed sample
+	sampled    int       // percent at sampledAt
+	failedOn   *worker   // worker of the last failure
+	movedOnce  bool      // moved off a slow worker
+	preempted  int       // number of preemptions
+	told       bool      // the start may have reached the worker
+	cutShort   bool      // the connection closed during the start call, as when the worker's process exits
 	crashes    workload.Crashes
 }
 
@@ -50,19 +50,19 @@
 	return workload.TaskID{Job: t.step.job.id, Round: t.step.round, Step: t.step.index, Index: t.index}
 }
 
-// attemptName names an attempt in log lines: TASK#ATTEMPT.
+// attemptName returns the name of an attempt in log lines, TASK#ATTEMPT.
 func (t *task) attemptName(number int) string { return fmt.Sprintf("%s#%d", t.id(), number) }
 
-// unwanted reports whether the attempt at hand is to be stopped: it is in doubt, or the
-// task turned out to be done by an earlier one.
+// unwanted reports whether the current attempt must be stopped: it is in state
+// taskStopping, or an earlier attempt has completed the task.
 func (t *task) unwanted() bool {
 	return t.state == taskStopping || t.state == taskDone && t.hosted()
 }
 
-// hosted reports whether the task takes room on a worker.
+// hosted reports whether the task occupies capacity on a worker.
 func (t *task) hosted() bool { return t.worker != nil }
 
-// step is one step of one round.
+// step is one step of a round.
 type step struct {
 	job    *job
 	round  int
@@ -71,36 +71,37 @@
 	tasks  []*task
 	left   int // tasks not done
 	advice adviceState
-	// onWorker counts the step's tasks on each worker.
+	// onWorker is the number of the step's tasks on each worker.
 	onWorker map[*worker]int
-	// heldAt is since when its account's quota holds the step back; zero: it does not.
+	// heldAt is when the account's quota began to hold the step back; zero if it does not.
 	heldAt time.Time
-	// retryAt holds the step back after a refusal.
+	// retryAt is the earliest time to place tasks again, after a failure or refusal.
 	retryAt time.Time
-	// tried is the serial of the last look that found no room for more tasks, and pressed
-	// whether others could have been stopped for them then.
-	tried   uint64
-	pressed bool
-	// reserved are workers whose room is kept for the step until roomUntil.
+	// tried is the serial of the last pass that found no capacity for more tasks.
+	// mayPreempt is whether the last pass allowed the step to preempt other tasks.
+	tried      uint64
+	mayPreempt bool
+	// reserved are the workers with capacity reserved for the step until roomUntil.
 	reserved  []*worker
 	roomUntil time.Time
-	// suspected is whether a task may have crashed its worker, and passed whether a worker
-	// has survived a trial of the step since.
+	// suspected is whether a task of the step may have crashed its worker, and passed
+	// whether a worker has since survived a trial of the step.
 	suspected bool
 	passed    bool
 }
 
 func (st *step) done() bool { return st.left == 0 }
 
-// notePressed has all workers looked at again once others may be stopped for the step.
-func (st *step) notePressed(pressed bool) {
-	if pressed && !st.pressed {
+// setMayPreempt sets mayPreempt. When it becomes true, the next pass considers all
+// workers again.
+func (st *step) setMayPreempt(allowed bool) {
+	if allowed && !st.mayPreempt {
 		st.tried = 0
 	}
-	st.pressed = pressed
+	st.mayPreempt = allowed
 }
 
-// waiting returns the tasks that could be placed.
+// waiting returns the tasks that can be placed.
 func (st *step) waiting() []*task {
 	var list []*task
 	for _, t := range st.tasks {
@@ -111,20 +112,21 @@
 	return list
 }
 
-// mayStart reports whether the task could be placed now.
+// mayStart reports whether the task can be placed now.
 func (t *task) mayStart() bool { return t.state == taskWaiting && !t.crashes.Held() }
 
-// anyHeld reports whether a task waits for the fate of a worker.
-func (st *step) anyHeld() bool {
+// anyHeldByLoss reports whether a task waits until it is known whether its lost worker
+// has ended.
+func (st *step) anyHeldByLoss() bool {
 	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.state != taskDone && t.crashes.Held() })
 }
 
-// anyWaiting reports whether a task could be placed.
+// anyWaiting reports whether a task can be placed.
 func (st *step) anyWaiting() bool {
 	return slices.ContainsFunc(st.tasks, (*task).mayStart)
 }
 
-// idle reports whether no task of the step is on a worker.
+// idle reports whether no task of the step occupies capacity on a worker.
 func (st *step) idle() bool {
 	for _, t := range st.tasks {
 		if t.hosted() {
@@ -134,23 +136,23 @@
 	return true
 }
 
-// round is one run of a job's steps.
+// round is one execution of all steps of a job.
 type round struct {
-	due   int64 // ms since 1970; 0: at once
-	steps []*step
-	left  int           // steps not done
-	rest  time.Duration // estimated work of the longest chain that is left
-	known bool          // rest is as the steps are
+	due            int64 // Unix time in ms; 0 if due at once
+	steps          []*step
+	left           int           // steps not done
+	remaining      time.Duration // estimated duration of the longest chain of steps not done
+	remainingValid bool          // whether remaining is up to date
 }
 
-// job is a job in the owner's memory.
+// job is the in-memory state of a job.
 type job struct {
 	id      string
 	record  workload.Record
 	account *accountState
-	beyond  bool // it came on top of what its account is owed
-	hosted  int  // tasks that take room on workers
-	// idleSince is since when nothing of it has been on a worker.
+	beyond  bool // it exceeds its account's fair share
+	hosted  int  // tasks that occupy capacity on workers
+	// idleSince is when its last task left its worker, initially its arrival.
 	idleSince time.Time
 	rounds    []*round
 	left      int // rounds not done
@@ -158,31 +160,32 @@
 	begun     bool
 	finalAt   int64
 	arrived   time.Time
-	deadline  time.Time // by which it should be completed
+	deadline  time.Time // completion objective
 
-	// generation counts changes, saved the last one that is in the store.
+	// generation is the number of the last change, and saved that of the last change in
+	// the store.
 	generation uint64
 	saved      uint64
 	savedState workload.State
-	queued     bool      // for the next transaction
-	sent       bool      // a transaction has held it
-	withdrawn  bool      // its caller was told that it was not taken
-	inserted   bool      // the record's row is in the store
-	forgotten  bool      // its rows are to be deleted
-	bundle     *bundle   // that holds its latest row; nil: the row is its own
-	inherited  []*bundle // of a former owner that may hold its latest row
+	queued     bool      // in Scheduler.dirty
+	sent       bool      // included in a transaction at least once
+	withdrawn  bool      // its submitter was told that it was not accepted
+	inserted   bool      // the store has a row for the record
+	forgotten  bool      // expired; its rows are to be deleted
+	bundle     *bundle   // holds its latest progress; nil if that is in a row of its own
+	inherited  []*bundle // bundles of former owners that may hold its latest progress
 	afterSave  []saveAction
 	ended      chan struct{} // closed once the job is final in memory
 }
 
-// saveAction is done, under the lock, once a generation is in the store.
+// saveAction is a callback that runs, with the lock held, once a generation is in the store.
 type saveAction struct {
 	generation uint64
-	do         func()
+	run        func()
 }
 
-func newJob(id string, record workload.Record, owner *accountState, now time.Time) *job {
-	j := &job{id: id, record: record, account: owner, state: workload.Queued, savedState: workload.Queued, ended: make(chan struct{})}
+func newJob(id string, record workload.Record, account *accountState, now time.Time) *job {
+	j := &job{id: id, record: record, account: account, state: workload.Queued, savedState: workload.Queued, ended: make(chan struct{})}
 	age := now.Sub(time.UnixMilli(record.Accepted))
 	j.arrived = now.Add(-max(0, age))
 	j.deadline = j.arrived.Add(record.Queue.Objective(record.Request))
@@ -204,7 +207,7 @@
 	return j
 }
 
-// idle returns for how long nothing of the job has been on a worker.
+// idle returns how long the job has had no task on a worker.
 func (j *job) idle(now time.Time) time.Duration {
 	if j.hosted > 0 {
 		return 0
@@ -212,7 +215,7 @@
 	return now.Sub(j.idleSince)
 }
 
-// ready reports whether the steps that a step depends on are done.
+// ready reports whether all dependencies of a step are done.
 func (r *round) ready(st *step) bool {
 	for _, earlier := range st.spec.After {
 		if !r.steps[earlier].done() {
@@ -222,8 +225,8 @@
 	return true
 }
 
-// underWay reports whether every task that is not done runs.
-func (j *job) underWay() bool {
+// allRunning reports whether the job has started and all its unfinished tasks are running.
+func (j *job) allRunning() bool {
 	if j.state.Final() || !j.begun {
 		return false
 	}
@@ -239,15 +242,15 @@
 	return true
 }
 
-// chainLeft returns the estimated work of the longest chain that is left.
+// chainLeft returns the estimated duration of the longest chain of steps not done.
 func (r *round) chainLeft(request *workload.Request) time.Duration {
-	if !r.known {
-		r.rest, r.known = request.Chain(func(i int) bool { return r.steps[i].done() }), true
+	if !r.remainingValid {
+		r.remaining, r.remainingValid = request.Chain(func(i int) bool { return r.steps[i].done() }), true
 	}
-	return r.rest
+	return r.remaining
 }
 
-// find returns a task, or nil.
+// find returns the task with an ID, or nil if the job has none.
 func (j *job) find(id workload.TaskID) *task {
 	if id.Round >= len(j.rounds) || id.Step >= len(j.rounds[id.Round].steps) {
 		return nil
@@ -259,8 +262,8 @@
 	return st.tasks[id.Index]
 }
 
-// slim drops what nobody asks of a final job, once nothing of it is on a worker.
-func (j *job) slim() {
+// compact frees the rounds and the request of a final job that has no task on a worker.
+func (j *job) compact() {
 	if j.hosted == 0 {
 		j.rounds, j.record.Request = nil, workload.Request{}
 	}
@@ -277,7 +280,7 @@
 	}
 }
 
-// markDone notes that a task is done.
+// markDone marks the task as done and updates the counts of its step, round and job.
 func (t *task) markDone() {
 	if t.state == taskDone {
 		return
@@ -290,13 +293,13 @@
 	}
 	r := st.job.rounds[st.round]
 	r.left--
-	r.known = false
+	r.remainingValid = false
 	if r.left == 0 {
 		st.job.left--
 	}
 }
 
-// progress returns what must last of the job.
+// progress returns the job's progress as it is stored.
 func (j *job) progress() workload.Progress {
 	p := workload.Progress{State: j.state, Begun: j.begun, FinalAt: j.finalAt, Generation: j.generation}
 	if j.state.Final() {
@@ -307,7 +310,7 @@
 	}
 	for _, r := range j.rounds {
 		for _, st := range r.steps {
-			if sp, begun := st.progress(); begun {
+			if sp, started := st.progress(); started {
 				p.Steps = append(p.Steps, sp)
 			}
 		}
@@ -330,7 +333,7 @@
 			tp := workload.TaskProgress{Index: t.index, Attempt: t.attempt, Failures: t.failures, Checkpoint: t.checkpoint, Crashes: t.crashes}
 			if t.worker != nil {
 				tp.Worker, tp.Born = t.worker.info.ID, t.worker.info.Born
-				if !addressed[t.worker] { // once is enough: rows are written anew with each change
+				if !addressed[t.worker] { // once per worker, to keep the row small: it is rewritten on each change
 					tp.Address, addressed[t.worker] = t.worker.info.Address, true
 				}
 			}
@@ -340,7 +343,8 @@
 	return sp, sp.Done != nil || sp.Tasks != nil
 }
 
-// restore applies what lasted of the job. hosts returns a life of a worker.
+// restore applies stored progress to a new job. hosts returns the worker for a life,
+// creating it if necessary.
 func (j *job) restore(p workload.Progress, hosts func(life fleet.Life, address string) *worker) {
 	j.state, j.savedState, j.begun, j.finalAt = p.State, p.State, p.Begun, p.FinalAt
 	j.generation, j.saved = max(1, p.Generation), max(1, p.Generation)
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -9,30 +9,30 @@
 	"chutereach/workload"
 )
 
-// Metrics counts what schedulers of one process do. Var shows it.
+// Metrics holds the counters and latency histograms shared by all schedulers of a process.
 type Metrics struct {
 	admissions, outcomes, refusals, finals *expvar.Map
 	stops, grants, adviceFailed, late      *expvar.Int
 	preempted, crashed, gaveUp, suspected  *expvar.Int
 	held, quarantined, startedAgain        *expvar.Int
-	rowsUnread, viewStale                  *expvar.Int
+	rowsUnread, staleViews                 *expvar.Int
 	commitTimes, startTimes, adviceTimes   *histogram.Times
-	completedTimes, lookTimes              *histogram.Times
+	completedTimes, dispatchTimes          *histogram.Times
 	commitJobs                             *expvar.Int
 }
 
-// NewMetrics returns Metrics that count from nothing.
+// NewMetrics returns Metrics with all counters at zero.
 func NewMetrics() *Metrics {
 	return &Metrics{
 		admissions: new(expvar.Map), outcomes: new(expvar.Map), refusals: new(expvar.Map), finals: new(expvar.Map),
 		stops: new(expvar.Int), grants: new(expvar.Int), adviceFailed: new(expvar.Int), late: new(expvar.Int),
 		commitTimes: histogram.New(), startTimes: histogram.New(), adviceTimes: histogram.New(),
-		completedTimes: histogram.New(), lookTimes: histogram.New(), commitJobs: new(expvar.Int), preempted: new(expvar.Int),
-		crashed: new(expvar.Int), gaveUp: new(expvar.Int), suspected: new(expvar.Int), held: new(expvar.Int), quarantined: new(expvar.Int), startedAgain: new(expvar.Int), rowsUnread: new(expvar.Int), viewStale: new(expvar.Int),
+		completedTimes: histogram.New(), dispatchTimes: histogram.New(), commitJobs: new(expvar.Int), preempted: new(expvar.Int),
+		crashed: new(expvar.Int), gaveUp: new(expvar.Int), suspected: new(expvar.Int), held: new(expvar.Int), quarantined: new(expvar.Int), startedAgain: new(expvar.Int), rowsUnread: new(expvar.Int), staleViews: new(expvar.Int),
 	}
 }
 
-// Var is everything, as a variable of expvar.
+// Var returns all metrics as an expvar variable.
 func (m *Metrics) Var() expvar.Var {
 	all := new(expvar.Map)
 	all.Set("admission", m.admissions)
@@ -49,7 +49,7 @@
 	all.Set("workers_quarantined", m.quarantined)
 	all.Set("workers_started_again", m.startedAgain)
 	all.Set("report_rows_unread", m.rowsUnread)
-	all.Set("evacuations_unconfirmed", m.viewStale)
+	all.Set("evacuations_unconfirmed", m.staleViews)
 	all.Set("grants", m.grants)
 	all.Set("advice_failed", m.adviceFailed)
 	all.Set("commit_ms", m.commitTimes)
@@ -57,7 +57,7 @@
 	all.Set("start_ms", m.startTimes)
 	all.Set("advice_ms", m.adviceTimes)
 	all.Set("completed_ms", m.completedTimes)
-	all.Set("look_ms", m.lookTimes)
+	all.Set("look_ms", m.dispatchTimes)
 	return all
 }
 
@@ -74,8 +74,8 @@
 	}
 }
 
-func (m *Metrics) refused(reason string)     { m.refusals.Add(reason, 1) }
-func (m *Metrics) end(outcome fleet.Outcome) { m.outcomes.Add(string(outcome), 1) }
+func (m *Metrics) startRefused(reason string) { m.refusals.Add(reason, 1) }
+func (m *Metrics) end(outcome fleet.Outcome)  { m.outcomes.Add(string(outcome), 1) }
 
 func (m *Metrics) advice(took time.Duration, err error) {
 	if err != nil {
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// startWithin bounds how late a start may be carried out.
-	startWithin = 1500 * time.Millisecond
-	// orderTimeout is how long one call with an order may take.
-	orderTimeout = 250 * time.Millisecond
-	orderPause   = 5 * time.Millisecond
-	// busyPause keeps new tasks from a worker that refused one for now.
-	busyPause = 500 * time.Millisecond
+	// startValidity is how long after it is issued a start order may be carried out.
+	startValidity = 1500 * time.Millisecond
+	// orderTimeout is the timeout of stop calls and of requests for a report.
+	orderTimeout    = 250 * time.Millisecond
+	orderRetryDelay = 5 * time.Millisecond
+	// refusalBackoff is how long a worker gets no new tasks after it refused a start
+	// because it was busy or had no capacity.
+	refusalBackoff = 500 * time.Millisecond
 )
 
-// begin tells a worker to start an attempt whose grant is in the store. The lock
-// is held.
+// begin starts an attempt whose grant is in the store. The lock is held.
 func (s *Scheduler) begin(t *task, number int) {
 	if t.state != taskGranted || t.attempt != number {
 		return
 	}
-	if !s.ticketLasts(t, time.Now()) {
-		s.metrics.refused("ticket ran out before the start")
+	if !s.refreshTicket(t, time.Now()) {
+		s.metrics.startRefused("ticket ran out before the start")
 		s.endAttempt(t, fleet.Stopped, "", "its ticket ran out while the grant was written")
 		return
 	}
@@ -34,103 +34,103 @@
 	s.running.Go(func() { s.start(s.ctx, t, number) })
 }
 
-// ticketLasts reports whether the task's ticket, if it needs one, is still good.
-// Writing a grant takes long while the store is down.
-func (s *Scheduler) ticketLasts(t *task, now time.Time) bool {
+// refreshTicket replaces the task's ticket by the latest one and reports whether it is
+// valid, or not needed. The ticket may have expired while the grant was written.
+func (s *Scheduler) refreshTicket(t *task, now time.Time) bool {
 	if !t.step.job.record.Queue.Advice.Needed() {
 		return true
 	}
 	text, ok := t.step.advice.ticketFor(t.worker, now)
-	t.ticket = text // a newer one may have come since the grant
+	t.ticket = text // there may be a newer one than at the grant
 	return ok
 }
 
-// start calls the worker until it answers or the order is void.
+// start calls the worker until it answers or the order has expired.
 func (s *Scheduler) start(ctx context.Context, t *task, number int) {
-	void := time.Now().Add(startWithin)
-	doubtful := false // an earlier call had no answer and may have been carried out
+	expiry := time.Now().Add(startValidity)
+	uncertain := false // whether an earlier unanswered call may have started the attempt
 	for ctx.Err() == nil {
-		info, order, next := s.startOrder(t, number, void)
-		switch next {
-		case startOver:
+		info, order, decision := s.startOrder(t, number, expiry)
+		switch decision {
+		case startAbandon:
 			return
-		case startHeld:
-			wait.For(ctx, heldPause)
+		case startHold:
+			wait.For(ctx, heldStartDelay)
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, s.answerLimit())
-		begun := time.Now()
+		callCtx, cancel := context.WithTimeout(ctx, s.startCallTimeout())
+		sentAt := time.Now()
 		clock, err := s.client.Start(callCtx, info, order)
 		cancel()
-		s.metrics.start(time.Since(begun), err)
-		if s.startAnswered(t, number, startResult{info.Life, order.Token, clock, err, time.Since(begun), void, doubtful}) {
+		s.metrics.start(time.Since(sentAt), err)
+		if s.handleStartResult(t, number, startResult{info.Life, order.Token, clock, err, time.Since(sentAt), expiry, uncertain}) {
 			return
 		}
-		doubtful = doubtful || !fleet.IsUnsent(err)
-		wait.For(ctx, orderPause)
+		uncertain = uncertain || !fleet.IsUnsent(err)
+		wait.For(ctx, orderRetryDelay)
 	}
 }
 
-// startNext is what is done next about a start.
-type startNext int
+// startDecision is the next action for a start.
+type startDecision int
 
 const (
-	startSent startNext = iota // the worker is called
-	startHeld                  // it is looked at again after heldPause
-	startOver                  // it is no longer wanted
+	startSend    startDecision = iota // call the worker
+	startHold                         // check again after heldStartDelay
+	startAbandon                      // the start is no longer wanted
 )
 
-// startOrder returns the order, if the worker is to be called now.
-func (s *Scheduler) startOrder(t *task, number int, void time.Time) (fleet.Worker, fleet.StartOrder, startNext) {
+// startOrder decides whether to call the worker now, and returns the order if so.
+func (s *Scheduler) startOrder(t *task, number int, expiry time.Time) (fleet.Worker, fleet.StartOrder, startDecision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t.state != taskStarting || t.attempt != number || t.worker == nil {
-		return fleet.Worker{}, fleet.StartOrder{}, startOver
+		return fleet.Worker{}, fleet.StartOrder{}, startAbandon
 	}
 	w := t.worker
 	if !t.told && w.overfull() {
-		s.metrics.refused("its worker has shrunk since the grant")
+		s.metrics.startRefused("its worker has shrunk since the grant")
 		s.endAttempt(t, fleet.Stopped, "", "its worker has shrunk since the grant")
-		return fleet.Worker{}, fleet.StartOrder{}, startOver
+		return fleet.Worker{}, fleet.StartOrder{}, startAbandon
 	}
-	if next := s.admitStart(t, void); next != startSent {
-		return fleet.Worker{}, fleet.StartOrder{}, next
+	if decision := s.admitStart(t, expiry); decision != startSend {
+		return fleet.Worker{}, fleet.StartOrder{}, decision
 	}
-	w.extends(void, 0)
+	w.extends(expiry, 0)
 	t.told = true
 	return w.info, fleet.StartOrder{
 		Task: t.id().String(), Number: number, Spec: t.step.job.record.Request.Spec,
-		Checkpoint: t.checkpoint, Ticket: t.ticket, Token: s.tokenOf(w.info.ID), Deadline: w.clockNow(void),
-	}, startSent
+		Checkpoint: t.checkpoint, Ticket: t.ticket, Token: s.tokenOf(w.info.ID), Deadline: w.clockNow(expiry),
+	}, startSend
 }
 
-// answerLimit returns how long the answer to a start is waited for before it is sent
-// again, which does no harm: a worker starts an attempt once.
-func (s *Scheduler) answerLimit() time.Duration {
+// startCallTimeout returns the timeout of a start call. Retries are safe because workers
+// start an attempt at most once.
+func (s *Scheduler) startCallTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.answers.limit() + s.patience()
 }
 
-// startResult is what came of one call with a start.
+// startResult is the result of one start call.
 type startResult struct {
-	life     fleet.Life // that was meant
-	token    uint64
-	clock    fleet.Clock
-	err      error
-	took     time.Duration
-	void     time.Time // when the order is void
-	doubtful bool
+	life      fleet.Life // the life the call was addressed to
+	token     uint64
+	clock     fleet.Clock
+	err       error
+	took      time.Duration
+	expiry    time.Time // when the order expires
+	uncertain bool      // an earlier unanswered call may have started the attempt
 }
 
-// startAnswered takes in the answer to a start, and tells whether that settles
-// it.
-func (s *Scheduler) startAnswered(t *task, number int, result startResult) bool {
+// handleStartResult processes the result of a start call and reports whether no further
+// call is needed.
+func (s *Scheduler) handleStartResult(t *task, number int, result startResult) bool {
 	err := result.err
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.answers.took(result.took) // without answer: as long as was waited, at the least
+	s.answers.took(result.took) // without an answer, the time waited is a lower bound
 	if t.attempt != number || t.worker == nil {
 		return true
 	}
@@ -138,8 +138,8 @@
 	if fleet.IsClosed(err) && !fleet.IsUnsent(err) {
 		t.cutShort = true
 	}
-	if fleet.IsUnsent(err) && !result.doubtful && t.state == taskStarting {
-		t.told = false // until the call is tried again
+	if fleet.IsUnsent(err) && !result.uncertain && t.state == taskStarting {
+		t.told = false // until the next call is sent
 	}
 	if err == nil {
 		w.sawClockOf(result.life, result.clock, now)
@@ -156,58 +156,59 @@
 	switch {
 	case errors.As(err, &refused):
 		w.sawClockOf(result.life, refused.Clock, now)
-		s.startRefused(t, refused.Reason, result)
+		s.handleStartRefusal(t, refused.Reason, result)
 	case errors.As(err, &replaced):
 		s.endLife(w, "another life answers at its address")
 	case errors.As(err, &busy):
-		w.blockedUntil = now.Add(busyPause)
-		s.notStarted(t, "busy", result.doubtful)
+		w.blockedUntil = now.Add(refusalBackoff)
+		s.rejectStart(t, "busy", result.uncertain)
 	case t.state != taskStarting:
 		return true
-	case w.failing && fleet.IsUnsent(err) && !result.doubtful:
-		s.notStarted(t, "out of reach", false)
-	case now.After(result.void):
+	case w.failing && fleet.IsUnsent(err) && !result.uncertain:
+		s.rejectStart(t, "out of reach", false)
+	case now.After(result.expiry):
 		s.log.Warn().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", number).
 			Str("worker", w.info.ID).Err(err).Msg("start has no answer")
-		s.stop(t, "its start has no answer")
+		s.stop(t, "its start was not answered")
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *Scheduler) startRefused(t *task, reason fleet.Reason, result startResult) {
+// handleStartRefusal processes the refusal of a start by the worker. The lock is held.
+func (s *Scheduler) handleStartRefusal(t *task, reason fleet.Reason, result startResult) {
 	if t.state != taskStarting {
-		return // a report has shown it since, or it is being stopped
+		return // a report has since listed the attempt, or it is being stopped
 	}
 	w := t.worker
 	switch reason {
 	case fleet.Fenced:
 		s.fenced(w, result.token)
 	case fleet.NoRoom:
-		w.blockedUntil = time.Now().Add(busyPause)
+		w.blockedUntil = time.Now().Add(refusalBackoff)
 	case fleet.NoTicket:
 		t.step.advice.drop(w)
 	}
-	s.notStarted(t, string(reason), result.doubtful || reason == fleet.Outdated)
+	s.rejectStart(t, string(reason), result.uncertain || reason == fleet.Outdated)
 }
 
-// notStarted takes back a grant whose start the worker has refused. If an earlier
-// call had no answer, the attempt may have begun, and even ended: then only a
-// later report tells. The lock is held.
-func (s *Scheduler) notStarted(t *task, reason string, doubtful bool) {
+// rejectStart revokes the grant of a task whose start was refused or could not be sent. If
+// an earlier call was not answered, the attempt may have started or even ended, so it is
+// stopped and remains in doubt until a later report. The lock is held.
+func (s *Scheduler) rejectStart(t *task, reason string, uncertain bool) {
 	s.log.Info().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
-		Str("worker", t.worker.info.ID).Str("reason", reason).Bool("doubtful", doubtful).Msg("start refused")
-	s.metrics.refused(reason)
-	if doubtful {
-		s.stop(t, "refused after a call without answer")
+		Str("worker", t.worker.info.ID).Str("reason", reason).Bool("doubtful", uncertain).Msg("start refused")
+	s.metrics.startRefused(reason)
+	if uncertain {
+		s.stop(t, "refused after an unanswered call")
 		return
 	}
 	t.told = false
 	s.endAttempt(t, fleet.Stopped, "", "refused: "+reason)
 }
 
-// began takes in that an attempt runs. The lock is held.
+// began records that an attempt is running. The lock is held.
 func (s *Scheduler) began(t *task, now time.Time) {
 	t.state, t.begunAt, t.movedAt, t.percent = taskRunning, now, now, 0
 	t.recovered = false
@@ -216,33 +217,34 @@
 		Str("worker", t.worker.info.ID).Msg("started")
 }
 
-// stop ends an attempt that is unwanted or in doubt, and with it its gang. The lock is held.
-func (s *Scheduler) stop(t *task, why string) {
+// stop stops an attempt that is unwanted or in doubt, and with it the other members of its
+// gang. The lock is held.
+func (s *Scheduler) stop(t *task, reason string) {
 	switch t.state {
 	case taskGranted:
-		s.endAttempt(t, fleet.Stopped, "", why)
+		s.endAttempt(t, fleet.Stopped, "", reason)
 		return
 	case taskStarting, taskRunning:
 	default:
 		return
 	}
-	s.recall(t, why)
+	s.recall(t, reason)
 	if t.step.spec.Gang {
-		s.breakGang(t.step, t.attempt, "with its gang: "+why)
+		s.breakGang(t.step, t.attempt, "with its gang: "+reason)
 	}
 }
 
-// recall has a worker told to stop an attempt that was sent to it. The lock is held.
-func (s *Scheduler) recall(t *task, why string) {
+// recall has the worker stop an attempt whose start may have reached it. The lock is held.
+func (s *Scheduler) recall(t *task, reason string) {
 	t.state = taskStopping
 	s.metrics.stops.Add(1)
 	s.log.Info().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
-		Str("worker", t.worker.info.ID).Str("why", why).Msg("stopping")
+		Str("worker", t.worker.info.ID).Str("why", reason).Msg("stopping")
 	s.sendStops(t)
 }
 
-// sendStops has a worker called until it has taken the order to stop an unwanted attempt. The
-// lock is held.
+// sendStops calls the worker in the background until it confirms the stop of an unwanted
+// attempt. The lock is held.
 func (s *Scheduler) sendStops(t *task) {
 	t.stoppedAt = time.Time{}
 	if s.ctx == nil {
@@ -267,9 +269,9 @@
 		callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		_, err := s.client.Stop(callCtx, info, order)
 		cancel()
-		if s.stopAnswered(w, t, order, err) {
+		if s.handleStopResult(w, t, order, err) {
 			if err == nil {
-				s.look(ctx, w, t, number)
+				s.requestReport(ctx, w, t, number)
 			}
 			return
 		}
@@ -277,10 +279,10 @@
 	}
 }
 
-// look asks for a report at once if it is not known that a stopped attempt ever
-// began: no end will come of one that did not, and the call that is held open
-// waits for an end.
-func (s *Scheduler) look(ctx context.Context, w *worker, t *task, number int) {
+// requestReport requests a report at once if a stopped attempt is not known to have started.
+// An attempt that never started has no end to report, so the open hold call would not
+// return early for it.
+func (s *Scheduler) requestReport(ctx context.Context, w *worker, t *task, number int) {
 	s.mu.Lock()
 	wanted := t.worker == w && t.attempt == number && t.unwanted() && t.begunAt.IsZero()
 	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), Noted: w.acknowledged()}
@@ -296,7 +298,9 @@
 	}
 }
 
-func (s *Scheduler) stopAnswered(w *worker, t *task, order fleet.StopOrder, err error) bool {
+// handleStopResult processes the result of a stop call and reports whether no further call
+// is needed.
+func (s *Scheduler) handleStopResult(w *worker, t *task, order fleet.StopOrder, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var (
@@ -318,33 +322,34 @@
 	return false
 }
 
-// fenced takes in that a worker has seen a higher token than that of a call, and reports whether
-// the term is over for it: not if a later life under the worker's id was called by this owner
-// meanwhile. The lock is held.
+// fenced handles the refusal of a call by a worker that has seen a higher fencing token. It ends
+// the term and reports true, unless this owner itself has since used a higher token for the
+// worker's ID or the worker is over. The lock is held.
 func (s *Scheduler) fenced(w *worker, token uint64) bool {
 	if w.over || token < s.tokenOf(w.info.ID) {
 		return false
 	}
-	s.deposeLocked("worker " + w.info.ID + " has seen a higher token")
+	s.deposeLocked("worker " + w.info.ID + " has seen a higher fencing token")
 	return true
 }
 
-// stopForeign stops an attempt that the worker should not run.
+// stopForeign stops an attempt that a worker reports although it is not assigned to the worker.
+// The lock is held.
 func (s *Scheduler) stopForeign(w *worker, run fleet.Attempt) {
 	key := run.Task + "#" + w.info.ID
-	if s.stopping[key] || s.ctx == nil {
+	if s.stoppingStrays[key] || s.ctx == nil {
 		return
 	}
-	s.stopping[key] = true
+	s.stoppingStrays[key] = true
 	s.log.Warn().Str("task", run.Task).Int("attempt", run.Number).Str("worker", w.info.ID).Msg("stopping a stray attempt")
 	info := w.info
 	order := fleet.StopOrder{Task: run.Task, Number: run.Number, Token: s.tokenOf(info.ID)}
 	s.running.Go(func() {
 		callCtx, cancel := context.WithTimeout(s.ctx, orderTimeout)
 		defer cancel()
-		s.client.Stop(callCtx, info, order) // the next report tells whether it helped
+		s.client.Stop(callCtx, info, order) // if this fails, the next report triggers another call
 		s.mu.Lock()
-		delete(s.stopping, key)
+		delete(s.stoppingStrays, key)
 		s.mu.Unlock()
 	})
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -19,45 +19,49 @@
 )
 
 const (
-	// confirmedFor is how long an owner goes on extending leases after the store
-	// last confirmed its term. With a lease of 3 s, what runs outlives an outage of
-	// the store of 7 s, as long as any was seen; a successor waits as long before it
-	// takes a worker that it does not reach for idle.
+	// confirmedFor is how long an owner keeps extending worker leases after the
+	// store last confirmed its term. With a 3 s lease, running tasks survive a store
+	// outage of 7 s. A new owner waits this long plus a lease before it treats a
+	// worker that it cannot reach as idle.
 	confirmedFor = 5 * time.Second
-	// tickEvery is how often the owner looks for work that time alone makes due,
-	// dispatchGap how long it collects news between two looks.
-	tickEvery   = 25 * time.Millisecond
-	dispatchGap = 2 * time.Millisecond
-	// housekeeping is how often final jobs and lost workers are looked for.
-	housekeeping = time.Second
+	// dispatchInterval is how often a dispatch pass runs without any change, for work
+	// that becomes due by time alone. minDispatchGap is the minimum time between two
+	// passes, so that one pass covers several changes.
+	dispatchInterval = 25 * time.Millisecond
+	minDispatchGap   = 2 * time.Millisecond
+	// housekeepingInterval is how often expired final jobs are pruned and lost
+	// workers are checked.
+	housekeepingInterval = time.Second
 )
 
-// Config is what a Scheduler goes by.
+// Config configures a Scheduler.
 type Config struct {
 	Shard string
-	// Lease is for how long a worker runs on without word from the owner, and LongestLease the
-	// longest lease that a worker takes; 0: no longer than Lease.
+	// Lease is how long a worker keeps running tasks without a call from the owner.
+	// LongestLease is the longest lease that workers accept; 0 means Lease.
 	Lease, LongestLease time.Duration
-	// KeepFinal is how long the state of a final job can be asked for.
+	// KeepFinal is how long the state of a final job is retained.
 	KeepFinal time.Duration
-	// PartitionWrites is how many transactions a second the store takes of the
-	// shard's partition; 0: not known.
+	// PartitionWrites is how many transactions per second the store accepts for the
+	// shard's partition; 0 means unknown.
 	PartitionWrites float64
-	// Workers are what stops and restarts take; zero: what they take on most deployments.
+	// Workers holds the times that workers take to stop and to restore a task; the zero
+	// value means defaultTimes.
 	Workers WorkerTimes
-	// RemoteFactor is how many times as long a task takes away from its data; 0: not known.
+	// RemoteFactor is the ratio of a task's run time away from its data to its run time
+	// near it; values up to 1 mean unknown.
 	RemoteFactor float64
-	// Lateness, if given, tells by how much this process serves its timers late.
+	// Lateness, if not nil, returns how late timers currently fire in this process.
 	Lateness func() time.Duration
-	// Evacuations, if given, tells which data halls are evacuated.
+	// Evacuations, if not nil, returns the current view of evacuated data halls.
 	Evacuations func() evacuation.View
-	// EvacuateWithin is how long after an evacuation starts may still begin in the data hall; 0:
-	// not bounded.
+	// EvacuateWithin is how long after an evacuation is ordered tasks may still start
+	// in the data hall; 0 means no limit.
 	EvacuateWithin time.Duration
 }
 
-// lateness returns by how much this process is late; answers that have come wait as
-// long, and more, to be taken in.
+// lateness returns how late timers fire in this process. Answers that have arrived are
+// processed at least as late.
 func (c Config) lateness() time.Duration {
 	if c.Lateness == nil {
 		return 0
@@ -72,30 +76,30 @@
 	return c.Workers
 }
 
-// defaultFactor is the remote factor of most deployments at hand.
-const defaultFactor = 1.5
+// defaultRemoteFactor is used if Config.RemoteFactor is unknown.
+const defaultRemoteFactor = 1.5
 
 func (c Config) remoteFactor() float64 {
 	if c.RemoteFactor <= 1 {
-		return defaultFactor
+		return defaultRemoteFactor
 	}
 	return c.RemoteFactor
 }
 
-// Scheduler runs one shard's jobs for the time of one term.
+// Scheduler runs the jobs of one shard for one leadership term.
 type Scheduler struct {
-	// Loaded is closed, by who calls Load, once the shard may be asked.
+	// Loaded is closed by the caller of Load once the shard can serve requests.
 	Loaded chan struct{}
 
-	shard     string
-	lateness  func() time.Duration
-	gate      evacuationGate
-	lease     time.Duration
-	longest   time.Duration // the longest lease that a worker takes
-	keepFinal time.Duration
-	commitGap time.Duration // the least time between the starts of two transactions
-	times     WorkerTimes
-	// remoteFactor is how many times as long a task takes away from its data.
+	shard          string
+	lateness       func() time.Duration
+	gate           evacuationGate
+	lease          time.Duration
+	longest        time.Duration // the longest lease that workers accept
+	keepFinal      time.Duration
+	commitInterval time.Duration // minimum time between the starts of two transactions
+	times          WorkerTimes
+	// remoteFactor is the ratio of run times away from a task's data and near it.
 	remoteFactor float64
 	store        rowstore.Store
 	client       fleet.Client
@@ -104,64 +108,65 @@
 	metrics      *Metrics
 
 	mu      sync.Mutex
-	jobs    map[string]*job // all whose state can be asked for
-	active  map[string]*job // those that are not final
+	jobs    map[string]*job // all jobs whose state is retained, by ID
+	active  map[string]*job // jobs that are not final, by ID
 	workers map[fleet.Life]*worker
-	// identities are what is known of the lives under each id.
+	// identities tracks the successive lives of each worker ID.
 	identities map[string]*identity
-	// past are ended lives that discovery still names.
+	// past holds ended lives that discovery still lists.
 	past   map[fleet.Life]bool
-	dirty  []*job
+	dirty  []*job // changed since they were last written
 	queues map[string]workload.Queue
-	// directory is of the newest configuration; accounts are those that have jobs here.
+	// directory lists the accounts of the current configuration; accounts holds the
+	// state of those with jobs in this shard.
 	directory account.Directory
 	accounts  map[string]*accountState
-	// demands are what gangs have asked for of late, by service.
+	// demands holds what gangs have requested recently, by service.
 	demands map[string]headroom.Demand
 	lanes   []*lane
-	// formerLeasesEnd is when everything that a former owner started has ended on
-	// a worker that was not reached since.
+	// formerLeasesEnd is when the last lease that a former owner may have granted
+	// has expired.
 	formerLeasesEnd time.Time
-	stopping        map[string]bool    // stray attempts that are being stopped
-	serial          uint64             // counts looks at what could be placed
+	stoppingStrays  map[string]bool    // stray attempts with a stop call in flight, as TASK#WORKER
+	passSerial      uint64             // number of dispatch passes
 	healthy         map[string]float64 // share of workers that may run a step, by queue
 	bundles         map[string]*bundle
-	deadBundles     []rowstore.Key // to be deleted
+	deadBundles     []rowstore.Key // bundles that no job needs, to be deleted
 	bundleCount     uint64
-	fleetSpeed      float64       // mean speed of all tasks against their estimates
-	percentSeen     bool          // workers report progress
-	answers         answers       // of workers to calls
-	breaks          []breakage    // of connections to workers, of late
-	freshBuffer     []share       // of freshRoom
-	commitTurn      chan struct{} // holds a token while a transaction is under way
+	fleetSpeed      float64       // mean speed of tasks relative to their estimates
+	percentSeen     bool          // whether workers report progress
+	answers         answers       // response times and losses of calls to workers
+	breaks          []breakage    // recent losses of connections to workers
+	freshBuffer     []share       // reused by freshRoom
+	commitSlot      chan struct{} // semaphore of size 1, held during a transaction
 	deposed         error
 	paused          bool
 
 	ctx          context.Context
-	end          context.CancelCauseFunc
+	cancel       context.CancelCauseFunc
 	running      wait.Group
-	firstCalls   *callGate // of first calls to workers
+	firstCalls   *callGate // limits concurrent first calls to workers
 	commitWake   chan struct{}
 	dispatchWake chan struct{}
 }
 
-// New returns a Scheduler for a term. Load must follow, then Run.
+// New returns a Scheduler for a term. The caller must call Load and then Run.
 func New(config Config, store rowstore.Store, client fleet.Client, term *leadership.Term, metrics *Metrics, log zerolog.Logger) *Scheduler {
 	return &Scheduler{
 		shard: config.Shard, lateness: config.lateness, gate: newEvacuationGate(config), lease: config.Lease, keepFinal: config.KeepFinal,
 		store: store, client: client, term: term, log: log.With().Uint64("token", term.Token()).Logger(), metrics: metrics,
-		commitGap: commitGapFor(config.PartitionWrites), times: config.workerTimes(), remoteFactor: config.remoteFactor(),
+		commitInterval: commitGapFor(config.PartitionWrites), times: config.workerTimes(), remoteFactor: config.remoteFactor(),
 		jobs: map[string]*job{}, active: map[string]*job{}, workers: map[fleet.Life]*worker{},
 		identities: map[string]*identity{}, past: map[fleet.Life]bool{}, longest: max(config.Lease, config.LongestLease),
 		queues: map[string]workload.Queue{}, accounts: map[string]*accountState{}, demands: map[string]headroom.Demand{},
-		stopping: map[string]bool{}, bundles: map[string]*bundle{}, healthy: map[string]float64{}, fleetSpeed: 1,
+		stoppingStrays: map[string]bool{}, bundles: map[string]*bundle{}, healthy: map[string]float64{}, fleetSpeed: 1,
 		formerLeasesEnd: leaseEnd(term.FormerSuccess().Add(confirmedFor), config.Lease), Loaded: make(chan struct{}),
 		firstCalls: newCallGate(maxFirstCalls),
-		commitWake: make(chan struct{}, 1), dispatchWake: make(chan struct{}, 1), commitTurn: make(chan struct{}, 1),
+		commitWake: make(chan struct{}, 1), dispatchWake: make(chan struct{}, 1), commitSlot: make(chan struct{}, 1),
 	}
 }
 
-// wake makes a loop look again soon.
+// wake signals a loop without blocking. Signals that are not yet received coalesce.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -175,28 +180,29 @@
 // Term returns the term.
 func (s *Scheduler) Term() *leadership.Term { return s.term }
 
-// DeposedError says that the term is over.
+// DeposedError reports that the term has ended and why.
 type DeposedError struct{ Why string }
 
-func (e *DeposedError) Error() string { return "the term is over: " + e.Why }
+func (e *DeposedError) Error() string { return "term ended: " + e.Why }
 
-func (s *Scheduler) deposeLocked(why string) {
+// deposeLocked ends the term, unless it has ended already. The lock is held.
+func (s *Scheduler) deposeLocked(reason string) {
 	if s.deposed != nil {
 		return
 	}
-	s.deposed = &DeposedError{why}
-	if s.end != nil {
-		s.end(s.deposed)
+	s.deposed = &DeposedError{reason}
+	if s.cancel != nil {
+		s.cancel(s.deposed)
 	}
 }
 
-// Run runs the shard until ctx ends or the term does. It returns why.
+// Run runs the shard until ctx is done or the term ends, and returns the cause.
 func (s *Scheduler) Run(parent context.Context) error {
-	ctx, end := context.WithCancelCause(parent)
-	defer end(nil)
+	ctx, cancel := context.WithCancelCause(parent)
+	defer cancel(nil)
 	s.mu.Lock()
-	s.ctx, s.end = ctx, end
-	s.recallFinal()
+	s.ctx, s.cancel = ctx, cancel
+	s.stopFinalJobs()
 	s.watchAll()
 	deposed := s.deposed
 	s.mu.Unlock()
@@ -205,7 +211,7 @@
 	}
 	s.running.Go(func() { s.dispatchLoop(ctx) })
 	err := s.commitLoop(ctx)
-	end(err)
+	cancel(err)
 	s.running.Close()
 	s.failWaiters()
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
@@ -214,14 +220,14 @@
 	return err
 }
 
-// Pause keeps new tasks from starting, before a planned handover.
+// Pause stops dispatching new tasks, in preparation for a planned handover.
 func (s *Scheduler) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.paused = true
 }
 
-// Resume undoes Pause.
+// Resume resumes dispatching after Pause.
 func (s *Scheduler) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,26 +235,27 @@
 	wake(s.dispatchWake)
 }
 
-// Hold lets the transaction under way end and starts no other until release is
-// called, so that a successor can take the shard over.
+// Hold waits for the transaction in progress and blocks further ones until release
+// is called, so that another node can take the shard over.
 func (s *Scheduler) Hold(ctx context.Context) (release func(), err error) {
 	select {
-	case s.commitTurn <- struct{}{}:
-		return func() { <-s.commitTurn }, nil
+	case s.commitSlot <- struct{}{}:
+		return func() { <-s.commitSlot }, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// failWaiters lets callers know that their changes were not confirmed.
+// failWaiters marks the term as ended once Run stops. Callers that still wait for
+// a transaction have failed with the end of the run's context.
 func (s *Scheduler) failWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deposeLocked("stopped")
+	s.deposeLocked("scheduler stopped")
 }
 
-// SetQueues tells the policies of the queues in force. Jobs whose queue is gone
-// keep the policy that they came with.
+// SetQueues sets the current queue policies. Jobs whose queue no longer exists keep
+// the policy they have.
 func (s *Scheduler) SetQueues(queues []workload.Queue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,6 +269,8 @@
 	wake(s.dispatchWake)
 }
 
+// applyQueue sets the job's queue policy and deadline to those of its queue, if the queue
+// exists.
 func (s *Scheduler) applyQueue(j *job) {
 	queue, ok := s.queues[j.record.Queue.Name]
 	if !ok {
@@ -271,9 +280,9 @@
 	j.deadline = j.arrived.Add(queue.Objective(j.record.Request))
 }
 
-// recallFinal stops what still runs of jobs that were final before this term. The lock is
-// held.
-func (s *Scheduler) recallFinal() {
+// stopFinalJobs stops the running attempts of jobs that became final in an earlier term.
+// The lock is held.
+func (s *Scheduler) stopFinalJobs() {
 	for _, j := range s.jobs {
 		if !j.state.Final() {
 			continue
@@ -282,9 +291,9 @@
 	}
 }
 
-// forgetOld drops final jobs whose state need not be told any more, and accounts without
-// jobs. The lock is held.
-func (s *Scheduler) forgetOld(now time.Time) {
+// prune removes final jobs older than keepFinal, and unused accounts and worker identities.
+// It frees what is no longer needed of the other final jobs. The lock is held.
+func (s *Scheduler) prune(now time.Time) {
 	s.forgetAccounts()
 	s.forgetIdentities(now)
 	for id, j := range s.jobs {
@@ -293,7 +302,7 @@
 			continue
 		}
 		if j.state.Final() && j.saved >= j.generation {
-			j.slim()
+			j.compact()
 		}
 		if !j.state.Final() || j.forgotten || now.Sub(time.UnixMilli(j.finalAt)) < s.keepFinal {
 			continue
--- a/scheduler/withdraw.go
+++ b/scheduler/withdraw.go
@@ -7,22 +7,21 @@
 	"chutereach/urgency"
 )
 
-// withdrawAfter is how long the store may fail before jobs that it has never been sent are
-// given back. Until then a node that the store does answer takes the shard over, which took
-// 0.65 s after the loss of an owner in a play.
-const withdrawAfter = 700 * time.Millisecond
+// withdrawOutage is how long the store may fail before unsent jobs are withdrawn. Until
+// then another node that the store does answer may take the shard over.
+const withdrawOutage = 700 * time.Millisecond
 
-// withdrawHopeless gives a job back that no transaction has ever held, if the store does not
-// answer and the job cannot be completed in time any more, and reports whether it is given
-// back. Its caller can then be told for certain that it was not taken; otherwise it would be
-// told that nothing is known, and the job would run when nobody waits for it. A job that has
-// time is kept, since it can be completed in time after the outage. The lock is held.
-func (s *Scheduler) withdrawHopeless(j *job, now time.Time) bool {
+// withdrawIfLate withdraws a job that no transaction has included, if the store does not
+// answer and the job can no longer be completed in time, and reports whether the job is
+// withdrawn. Its submitter then gets a definite rejection; otherwise the outcome would be
+// unknown and the job would run after its deadline. Jobs that can still be completed in time
+// are kept. The lock is held.
+func (s *Scheduler) withdrawIfLate(j *job, now time.Time) bool {
 	if j.withdrawn {
 		return true
 	}
 	since := s.term.FailingSince()
-	if j.sent || j.saved > 0 || j.state.Final() || since.IsZero() || now.Sub(since) < withdrawAfter {
+	if j.sent || j.saved > 0 || j.state.Final() || since.IsZero() || now.Sub(since) < withdrawOutage {
 		return false
 	}
 	if j.rounds[0].urgency(now).InTime() {
@@ -32,17 +31,17 @@
 	return true
 }
 
-// urgency returns how urgent the first of the round's steps is.
+// urgency returns the urgency of the round's first step.
 func (r *round) urgency(now time.Time) urgency.Verdict {
 	return urgency.Judge(workOf(r.steps[0], now), now)
 }
 
-// withdraw forgets a job that no transaction has held.
+// withdraw removes a job that no transaction has included. The lock is held.
 func (s *Scheduler) withdraw(j *job, now time.Time) {
 	j.withdrawn = true
-	j.eachTask(func(t *task) { s.stop(t, "its job is given back") })
+	j.eachTask(func(t *task) { s.stop(t, "its job is withdrawn") })
 	s.dirty = slices.DeleteFunc(s.dirty, func(other *job) bool { return other == j })
-	j.queued = true // it is never queued again
+	j.queued = true // so that change does not queue it again
 	delete(s.jobs, j.id)
 	delete(s.active, j.id)
 	s.metrics.admission("given back")
