--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -123,7 +123,7 @@
 	var list []candidate
 	for _, j := range s.active {
 		for _, r := range j.rounds {
-			if r.left == 0 {
+			if r.stepsLeft == 0 {
 				continue
 			}
 			if r.due > now.UnixMilli() {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -140,7 +140,7 @@
 type round struct {
 	due            int64 // Unix time in ms; 0 if due at once
 	steps          []*step
-	left           int           // steps not done
+	stepsLeft      int           // steps not done
 	remaining      time.Duration // estimated duration of the longest chain of steps not done
 	remainingValid bool          // whether remaining is up to date
 }
@@ -199,7 +199,7 @@
 			}
 			r.steps = append(r.steps, st)
 		}
-		r.left = len(r.steps)
+		r.stepsLeft = len(r.steps)
 		j.rounds = append(j.rounds, r)
 	}
 	j.left = len(j.rounds)
@@ -292,9 +292,9 @@
 		return
 	}
 	r := st.job.rounds[st.round]
-	r.left--
+	r.stepsLeft--
 	r.remainingValid = false
-	if r.left == 0 {
+	if r.stepsLeft == 0 {
 		st.job.left--
 	}
 }
