--- a/scheduler/answers_test.go
+++ b/scheduler/answers_test.go
@@ -39,8 +39,8 @@
 	return list
 }
 
-// came tells a of a number of calls of which every nth had no answer; 0: none.
-func came(a *answers, calls, nth int) {
+// recordCalls tells a of a number of calls of which every nth had no answer; 0: none.
+func recordCalls(a *answers, calls, nth int) {
 	for i := range calls {
 		a.came(nth == 0 || (i+1)%nth != 0)
 	}
@@ -53,33 +53,33 @@
 	}
 }
 
-func TestLossIsNoticedAndForgotten(t *testing.T) {
+func TestLossDetection(t *testing.T) {
 	t.Run("none", func(t *testing.T) {
 		var a answers
-		came(&a, 1000, 0)
+		recordCalls(&a, 1000, 0)
 		assertLossy(t, a, false)
 	})
 	t.Run("one call in 25", func(t *testing.T) {
 		var a answers
-		came(&a, 500, 25)
+		recordCalls(&a, 500, 25)
 		assertLossy(t, a, true)
 	})
 	t.Run("one call in 500", func(t *testing.T) {
 		var a answers
-		came(&a, 2000, 500)
+		recordCalls(&a, 2000, 500)
 		assertLossy(t, a, false)
 	})
 	t.Run("over", func(t *testing.T) {
 		var a answers
-		came(&a, 500, 25)
-		came(&a, 1000, 0)
+		recordCalls(&a, 500, 25)
+		recordCalls(&a, 1000, 0)
 		assertLossy(t, a, false)
 	})
 }
 
 // An owner that is late itself takes no call without answer for the workers' fault, and
 // waits for longer.
-func TestALateOwnerDoesNotBlameWorkers(t *testing.T) {
+func TestLateOwnerIgnoresCallLoss(t *testing.T) {
 	late := time.Duration(0)
 	s := newBenchScheduler(t)
 	s.lateness = func() time.Duration { return late }
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -28,13 +28,13 @@
 
 // cell is a store, workers, and at most one owner that is meant to rule.
 type cell struct {
-	t     *testing.T
-	ctx   context.Context
-	store *memory.Store
-	fleet *fleettest.Fleet
-	queue workload.Queue
-	lease time.Duration
-	times scheduler.WorkerTimes // zero: the defaults
+	t           *testing.T
+	ctx         context.Context
+	store       *memory.Store
+	fleet       *fleettest.Fleet
+	queue       workload.Queue
+	lease       time.Duration
+	workerTimes scheduler.WorkerTimes // zero: the defaults
 	// evacuateWithin is how long after an evacuation starts may begin in the data hall; 0: owners
 	// hear of none.
 	evacuateWithin time.Duration
@@ -46,19 +46,19 @@
 // owner is one node's term in a test.
 type owner struct {
 	*scheduler.Scheduler
-	caller *memory.Caller
-	client *pausableClient
-	kill   context.CancelFunc
-	ended  chan error
+	caller    *memory.Caller
+	client    *pausableClient
+	kill      context.CancelFunc
+	runResult chan error
 }
 
 // pausableClient lets a test keep an owner's calls to workers back, as a machine
 // that stands still does.
 type pausableClient struct {
 	fleet.Client
-	mu    sync.Mutex
-	open  chan struct{} // closed: calls go through
-	lacks string        // the worker that this owner does not reach
+	mu      sync.Mutex
+	resumed chan struct{} // closed: calls go through
+	blocked string        // the worker that this owner does not reach
 	// extendedAt is when a lease was last extended.
 	extendedAt time.Time
 }
@@ -74,24 +74,24 @@
 func (c *pausableClient) cutOff(worker string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lacks = worker
+	c.blocked = worker
 }
 
 func (c *pausableClient) pause() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open = make(chan struct{})
+	c.resumed = make(chan struct{})
 }
 
 func (c *pausableClient) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	close(c.open)
+	close(c.resumed)
 }
 
 func (c *pausableClient) wait(ctx context.Context, worker string) error {
 	c.mu.Lock()
-	open, lacks := c.open, c.lacks
+	open, lacks := c.resumed, c.blocked
 	c.mu.Unlock()
 	if lacks == worker {
 		<-ctx.Done()
@@ -175,22 +175,22 @@
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		return c.run(caller, term)
+		return c.runOwner(caller, term)
 	}
 }
 
-func (c *cell) run(caller *memory.Caller, term *leadership.Term) *owner {
+func (c *cell) runOwner(caller *memory.Caller, term *leadership.Term) *owner {
 	c.t.Helper()
 	ctx, kill := context.WithCancel(c.ctx)
-	client := &pausableClient{Client: c.fleet, open: make(chan struct{})}
+	client := &pausableClient{Client: c.fleet, resumed: make(chan struct{})}
 	client.resume()
-	config := scheduler.Config{Shard: testShard, Lease: c.lease, LongestLease: fleettest.MostLease, KeepFinal: 2 * time.Minute, Workers: c.times}
+	config := scheduler.Config{Shard: testShard, Lease: c.lease, LongestLease: fleettest.MostLease, KeepFinal: 2 * time.Minute, Workers: c.workerTimes}
 	if c.evacuateWithin > 0 {
 		config.EvacuateWithin, config.Evacuations = c.evacuateWithin, c.followEvacuations(ctx, caller)
 	}
 	o := &owner{
 		Scheduler: scheduler.New(config, caller, client, term, scheduler.NewMetrics(), zerolog.Nop()),
-		caller:    caller, client: client, kill: kill, ended: make(chan error, 1),
+		caller:    caller, client: client, kill: kill, runResult: make(chan error, 1),
 	}
 	if err := o.Load(ctx); err != nil {
 		c.t.Fatal(err)
@@ -204,7 +204,7 @@
 			o.SetWorkers(c.fleet.List())
 		}
 	}()
-	go func() { o.ended <- o.Run(ctx) }()
+	go func() { o.runResult <- o.Run(ctx) }()
 	return o
 }
 
@@ -235,10 +235,10 @@
 
 // jobOf returns a request with one step.
 func jobOf(count int, cpu resource.MilliCPU) workload.Request {
-	return workload.Request{Spec: "spec", Steps: []workload.Step{step(count, cpu)}}
+	return workload.Request{Spec: "spec", Steps: []workload.Step{newStep(count, cpu)}}
 }
 
-func step(count int, cpu resource.MilliCPU) workload.Step {
+func newStep(count int, cpu resource.MilliCPU) workload.Step {
 	return workload.Step{Count: count, Need: resource.Amount{CPU: cpu, Memory: gigabyte}, Estimate: time.Second}
 }
 
@@ -247,6 +247,6 @@
 	return func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: d} }
 }
 
-func (o *owner) capacity() resource.Amount {
+func (o *owner) workerCapacity() resource.Amount {
 	return resource.Amount{CPU: 16_000, Memory: 64 * gigabyte}
 }
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -23,7 +23,7 @@
 //
 // What settled it: the lines "attempt over", outcome lapsed, with failures 0 at each of the 34,
 // and "worker is over", why "another life answers at its address", 0.2 s after each.
-func TestATaskThatCrashesItsWorkers(t *testing.T) {
+func TestCrashingTaskIsGivenUp(t *testing.T) {
 	cases := []struct {
 		name    string
 		request workload.Request
@@ -33,9 +33,9 @@
 		{"alone", jobOf(1, 1000), undisturbed, 2},
 		{"beside tasks of its step that do not", jobOf(6, 1000), undisturbed, 2},
 		{"in a gang", gangOf(3, 2000), undisturbed, 2},
-		{"that lasts", lastingOf(1, 1000), undisturbed, 2},
-		{"and the owner is killed after each crash", jobOf(1, 1000), killedAfterCrashes, 5},
-		{"and the owner is killed between a crash and its cause", jobOf(1, 1000), killedBetween, 5},
+		{"that lasts", newLastingRequest(1, 1000), undisturbed, 2},
+		{"and the owner is killed after each crash", jobOf(1, 1000), killOwnerAfterCrashes, 5},
+		{"and the owner is killed between a crash and its cause", jobOf(1, 1000), killOwnerAfterLeases, 5},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 				c.lease = shortLease
 				o := c.rule()
 				time.Sleep(500 * time.Millisecond)
-				if err := c.submit(o, "culprit", test.request, crashing(0)); err != nil {
+				if err := c.submit(o, "culprit", test.request, crashingPlan(0)); err != nil {
 					t.Fatal(err)
 				}
 				o = test.during(c, o)
@@ -55,9 +55,9 @@
 	}
 }
 
-// crashing returns a plan in which one task of each step crashes its worker as soon as it
+// crashingPlan returns a plan in which one task of each step crashes its worker as soon as it
 // has begun, and the others take a second.
-func crashing(index int) func(workload.TaskID, int) fleettest.Plan {
+func crashingPlan(index int) func(workload.TaskID, int) fleettest.Plan {
 	return func(task workload.TaskID, _ int) fleettest.Plan {
 		if task.Index == index {
 			return fleettest.Plan{Work: 10 * time.Millisecond, Crashes: true}
@@ -68,13 +68,13 @@
 
 func undisturbed(_ *cell, o *owner) *owner { return o }
 
-// killedAfterCrashes kills each of three owners as soon as a worker has crashed.
-func killedAfterCrashes(c *cell, o *owner) *owner { return c.killAfterCrashes(o, 0) }
+// killOwnerAfterCrashes kills each of three owners as soon as a worker has crashed.
+func killOwnerAfterCrashes(c *cell, o *owner) *owner { return c.killOwners(o, 0) }
 
-// killedBetween kills owners when the lease of what was lost has run out.
-func killedBetween(c *cell, o *owner) *owner { return c.killAfterCrashes(o, 3250*time.Millisecond) }
+// killOwnerAfterLeases kills owners when the lease of what was lost has run out.
+func killOwnerAfterLeases(c *cell, o *owner) *owner { return c.killOwners(o, 3250*time.Millisecond) }
 
-func (c *cell) killAfterCrashes(o *owner, after time.Duration) *owner {
+func (c *cell) killOwners(o *owner, after time.Duration) *owner {
 	c.t.Helper()
 	for count := 1; c.awaitCrashes(o, count); count++ {
 		time.Sleep(after)
@@ -115,7 +115,7 @@
 	return request
 }
 
-func lastingOf(count int, cpu resource.MilliCPU) workload.Request {
+func newLastingRequest(count int, cpu resource.MilliCPU) workload.Request {
 	request := jobOf(count, cpu)
 	request.Steps[0].Lasting = true
 	return request
@@ -123,14 +123,14 @@
 
 // Jobs whose tasks were on a worker that another job's task has crashed are completed, and
 // none of them is given up, however they are placed when they are started again.
-func TestJobsBesideATaskThatCrashesItsWorkers(t *testing.T) {
+func TestJobsBesideCrashingTaskComplete(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
 		for round := range 4 {
 			culprit := fmt.Sprintf("culprit-%d", round)
-			if err := c.submit(o, culprit, jobOf(1, 1000), crashing(0)); err != nil {
+			if err := c.submit(o, culprit, jobOf(1, 1000), crashingPlan(0)); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 6 {
--- a/scheduler/crash_waves_test.go
+++ b/scheduler/crash_waves_test.go
@@ -15,7 +15,7 @@
 
 // When a third of all workers end at once, three times in ten seconds, no task is to blame:
 // every job is completed, also those that had begun just before each of the waves.
-func TestWavesOfCrashesGiveNoJobUp(t *testing.T) {
+func TestCrashWavesFailNoJob(t *testing.T) {
 	inCell(t, 24, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
@@ -24,7 +24,7 @@
 		jobs := 0
 		for tick := range 120 { // twelve seconds
 			if tick%33 == 20 {
-				c.crashShare(random, 3)
+				c.crashRandomWorkers(random, 3)
 			}
 			name := fmt.Sprintf("job-%d", jobs)
 			if err := c.submit(o, name, jobOf(2, 2000), work(700*time.Millisecond)); err != nil {
@@ -39,17 +39,17 @@
 	})
 }
 
-// crashShare ends one in a number of the workers that live, all at once.
-func (c *cell) crashShare(random *rand.Rand, among int) {
-	for _, w := range c.alive() {
+// crashRandomWorkers ends one in a number of the workers that live, all at once.
+func (c *cell) crashRandomWorkers(random *rand.Rand, among int) {
+	for _, w := range c.liveWorkers() {
 		if random.IntN(among) == 0 {
 			c.fleet.Restart(w.ID)
 		}
 	}
 }
 
-// alive returns the workers of the fleet that run.
-func (c *cell) alive() []fleet.Worker {
+// liveWorkers returns the workers of the fleet that run.
+func (c *cell) liveWorkers() []fleet.Worker {
 	var list []fleet.Worker
 	for _, w := range c.fleet.List() {
 		if c.fleet.Alive(w.ID) {
@@ -61,14 +61,14 @@
 
 // Several tasks that crash their workers begin in the same moment, again and again. Each is
 // told from the others all the same.
-func TestCulpritsOfOneMoment(t *testing.T) {
+func TestSimultaneousCrashingTasks(t *testing.T) {
 	inCell(t, 24, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
 		const culprits = 6
 		for i := range culprits {
-			if err := c.submit(o, fmt.Sprintf("culprit-%d", i), jobOf(1, 9000), crashing(0)); err != nil {
+			if err := c.submit(o, fmt.Sprintf("culprit-%d", i), jobOf(1, 9000), crashingPlan(0)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -83,15 +83,15 @@
 // killed, cut off from workers or from the store, in random orders: the judge of the fleet
 // sees no promise broken, every culprit is given up, and every other job is completed, unless
 // two workers have ended under one of its tasks.
-func TestCrashesInAnyOrder(t *testing.T) {
+func TestRandomCrashes(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			inCell(t, 16, func(c *cell) { c.crashesInAnyOrder(rand.New(rand.NewPCG(seed, 7))) })
+			inCell(t, 16, func(c *cell) { c.runRandomCrashes(rand.New(rand.NewPCG(seed, 7))) })
 		})
 	}
 }
 
-func (c *cell) crashesInAnyOrder(random *rand.Rand) {
+func (c *cell) runRandomCrashes(random *rand.Rand) {
 	c.lease = shortLease
 	if random.IntN(2) == 0 {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
@@ -104,20 +104,20 @@
 		request := jobOf(1+random.IntN(4), resource.MilliCPU(500+random.IntN(4000)))
 		request.Steps[0].Gang = random.IntN(4) == 0
 		if random.IntN(3) == 0 {
-			second := step(1+random.IntN(3), 1000)
+			second := newStep(1+random.IntN(3), 1000)
 			second.After, second.Checkpoints = []int{0}, true
 			request.Steps = append(request.Steps, second)
 		}
 		plan := work(time.Duration(200+random.IntN(1500)) * time.Millisecond)
 		if random.IntN(8) == 0 {
-			plan = crashing(0)
+			plan = crashingPlan(0)
 			culprits = append(culprits, name)
 		} else {
 			others = append(others, name)
 		}
 		c.know(name, request, plan)
 		o = c.submitSomehow(o, name, request)
-		o = c.trouble(o, random)
+		o = c.applyRandomFault(o, random)
 		time.Sleep(time.Duration(random.IntN(500)) * time.Millisecond)
 	}
 	o.caller.SetFault(nil)
@@ -150,20 +150,20 @@
 	return o
 }
 
-// trouble does one thing or nothing.
-func (c *cell) trouble(o *owner, random *rand.Rand) *owner {
+// applyRandomFault does one thing or nothing.
+func (c *cell) applyRandomFault(o *owner, random *rand.Rand) *owner {
 	switch random.IntN(12) {
 	case 0:
 		o.kill()
 		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
 		return c.rule()
 	case 1:
-		alive := c.alive()
+		alive := c.liveWorkers()
 		if len(alive) > 4 {
 			c.fleet.Restart(alive[random.IntN(len(alive))].ID)
 		}
 	case 2:
-		cut := c.alive()[0].ID
+		cut := c.liveWorkers()[0].ID
 		c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
 			return fleettest.Fault{Lost: worker == cut}
 		})
--- a/scheduler/first_calls_test.go
+++ b/scheduler/first_calls_test.go
@@ -9,8 +9,8 @@
 	"chutereach/workload"
 )
 
-// firstCalls notes in which order workers are called for the first time from now on.
-func (c *cell) firstCalls() func() []string {
+// recordFirstCalls notes in which order workers are called for the first time from now on.
+func (c *cell) recordFirstCalls() func() []string {
 	var mu sync.Mutex
 	var order []string
 	seen := map[string]bool{}
@@ -31,7 +31,7 @@
 }
 
 // A successor hears of what has ended before discovery names any worker to it.
-func TestASuccessorWaitsForNoDiscovery(t *testing.T) {
+func TestSuccessorDoesNotWaitForDiscovery(t *testing.T) {
 	inCell(t, 6, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
@@ -54,7 +54,7 @@
 }
 
 // Workers that do not answer hold up nobody's first call, however many there are.
-func TestSilentWorkersHoldNoFirstCallUp(t *testing.T) {
+func TestUnresponsiveWorkersDoNotDelayFirstCalls(t *testing.T) {
 	const (
 		workers = 400
 		within  = 500 * time.Millisecond
@@ -80,7 +80,7 @@
 
 // After a takeover the workers that have work are called before the idle ones, however many there
 // are: what has ended there is what callers wait for.
-func TestASuccessorCallsWorkersWithWorkFirst(t *testing.T) {
+func TestSuccessorCallsBusyWorkersFirst(t *testing.T) {
 	const (
 		workers = 400
 		tasks   = 40
@@ -99,7 +99,7 @@
 			busy[c.fleet.HostOf(workload.TaskID{Job: "job", Index: index}.String())] = true
 		}
 		o.kill()
-		order := c.firstCalls()
+		order := c.recordFirstCalls()
 		next := c.rule()
 		time.Sleep(time.Second)
 		called := order()
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -12,13 +12,13 @@
 	"chutereach/workload"
 )
 
-// placed notes on which worker attempts were started.
-type placed struct {
+// startCounter notes on which worker attempts were started.
+type startCounter struct {
 	mu     sync.Mutex
 	starts map[string]int
 }
 
-func (p *placed) watch(c *cell) {
+func (p *startCounter) attach(c *cell) {
 	p.starts = map[string]int{}
 	c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
 		p.mu.Lock()
@@ -32,7 +32,7 @@
 
 // A worker on which all fails, or stands still, gets little after its first
 // victims, and no job is lost to it.
-func TestSickWorkersAreSpared(t *testing.T) {
+func TestUnhealthyWorkersAreAvoided(t *testing.T) {
 	cases := []struct {
 		name string
 		plan fleettest.Plan
@@ -45,8 +45,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			inCell(t, 6, func(c *cell) {
 				c.queue.Priority = 0
-				var p placed
-				p.watch(c)
+				var p startCounter
+				p.attach(c)
 				c.fleet.SetSick("w-03", test.plan)
 				o := c.rule()
 				var ids []string
@@ -72,7 +72,7 @@
 }
 
 // A task that fails is tried elsewhere.
-func TestATaskThatFailedGoesToAnotherWorker(t *testing.T) {
+func TestFailedTaskMovesToAnotherWorker(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.queue.Attempts = 2
 		var mu sync.Mutex
@@ -112,8 +112,8 @@
 		for _, sick := range []string{"w-04", "w-11"} {
 			c.fleet.SetSick(sick, fleettest.Plan{Work: 40 * time.Millisecond, Outcome: fleet.Failed})
 		}
-		var p placed
-		p.watch(c)
+		var p startCounter
+		p.attach(c)
 		o := c.rule()
 		time.Sleep(time.Second)
 		var ids []string
--- a/scheduler/late_end_test.go
+++ b/scheduler/late_end_test.go
@@ -12,7 +12,7 @@
 // A worker out of reach has done a task that its owner has given up there and is about to
 // start elsewhere; that start is lost. Once the first worker's report tells that the task is
 // done, the room that the second attempt was given is free again.
-func TestRoomOfAnAttemptThatIsNotNeededAnyMore(t *testing.T) {
+func TestCapacityOfRedundantAttemptIsFreed(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
--- a/scheduler/late_report_test.go
+++ b/scheduler/late_report_test.go
@@ -13,15 +13,15 @@
 	"chutereach/workload"
 )
 
-// watched is a scheduler with one worker that runs tasks of a job, as of its first report.
-type watched struct {
+// reportFixture is a scheduler with one worker that runs tasks of a job, as of its first report.
+type reportFixture struct {
 	*Scheduler
 	worker *worker
 	job    *job
 }
 
-// newWatched returns a scheduler whose worker runs a number of tasks.
-func newWatched(t *testing.T, tasks int) *watched {
+// newReportFixture returns a scheduler whose worker runs a number of tasks.
+func newReportFixture(t *testing.T, tasks int) *reportFixture {
 	t.Helper()
 	term, err := leadership.Take(t.Context(), memory.New().Caller(), "main", "node", "address", leadership.Sighting{})
 	if err != nil {
@@ -40,23 +40,23 @@
 		report.Running = append(report.Running, fleet.Attempt{Task: task.id().String(), Number: 1})
 	}
 	s.takeReport(w, report, time.Now())
-	return &watched{s, w, j}
+	return &reportFixture{s, w, j}
 }
 
-func doneEnd(sequence uint64, task string) fleet.End {
+func newDoneEnd(sequence uint64, task string) fleet.End {
 	return fleet.End{Sequence: sequence, Task: task, Number: 1, Outcome: fleet.Done}
 }
 
 // A report that a former life gave before its end overtakes none of the next one's, but may be
 // read after it. What was done is done.
-func TestAReportOfAFormerLifeThatIsReadLate(t *testing.T) {
-	s := newWatched(t, 1)
+func TestReportReadAfterWorkerRestart(t *testing.T) {
+	s := newReportFixture(t, 1)
 	sent := time.Now()
 	s.takeReport(s.worker, fleet.Report{Born: 2, Clock: 1}, time.Now())
 	if s.job.state.Final() || s.workers[fleet.Life{ID: "w", Born: 2}] == nil || s.workers[s.worker.info.Life] != nil {
 		t.Fatalf("the job is %s, the lives are %v", s.job.state, s.workers)
 	}
-	s.takeReport(s.worker, fleet.Report{Born: 1, Clock: 6, Ended: []fleet.End{doneEnd(1, "job.0.0.0")}}, sent)
+	s.takeReport(s.worker, fleet.Report{Born: 1, Clock: 6, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0")}}, sent)
 	if s.job.state != workload.Completed {
 		t.Errorf("the job is %s, want completed", s.job.state)
 	}
@@ -64,10 +64,10 @@
 
 // A row of a report that cannot be read costs no more than that row: the others count, the attempt
 // is not taken for lost at once, and its end is not acknowledged away.
-func TestARowThatCannotBeRead(t *testing.T) {
-	s := newWatched(t, 3)
+func TestUnreadableReportRow(t *testing.T) {
+	s := newReportFixture(t, 3)
 	s.takeReport(s.worker, fleet.Report{
-		Born: 1, Clock: 6, Unread: 1, UnreadFrom: 2, Ended: []fleet.End{doneEnd(1, "job.0.0.0"), doneEnd(3, "job.0.0.2")},
+		Born: 1, Clock: 6, Unread: 1, UnreadFrom: 2, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0"), newDoneEnd(3, "job.0.0.2")},
 	}, time.Now())
 	s.job.saved = s.job.generation
 	s.worker.advanceNoted()
@@ -78,7 +78,7 @@
 		t.Errorf("%d tasks are left, want one that is not lost", left)
 	}
 	s.takeReport(s.worker, fleet.Report{
-		Born: 1, Clock: 7, Ended: []fleet.End{doneEnd(2, "job.0.0.1"), doneEnd(3, "job.0.0.2")},
+		Born: 1, Clock: 7, Ended: []fleet.End{newDoneEnd(2, "job.0.0.1"), newDoneEnd(3, "job.0.0.2")},
 	}, time.Now())
 	if got := s.worker.acknowledged(); got != 1 {
 		t.Errorf("ends up to %d are acknowledged before the store has the end, want 1", got)
--- a/scheduler/later_life_test.go
+++ b/scheduler/later_life_test.go
@@ -13,8 +13,8 @@
 	"chutereach/workload"
 )
 
-// oneWorker returns a job whose task fills a worker and lasts for a while.
-func oneWorker() workload.Request { return jobOf(1, 16_000) }
+// fullWorkerRequest returns a job whose task fills a worker and lasts for a while.
+func fullWorkerRequest() workload.Request { return jobOf(1, 16_000) }
 
 // assertStarts checks how many attempts have begun.
 func (c *cell) assertStarts(want int) {
@@ -27,20 +27,20 @@
 // A start without answer that the next life of its worker carries out, after it is known that
 // the former one is over: the attempt is stopped there, and what it takes there is not given to
 // another until then.
-func TestAStartThatALaterLifeCarriesOut(t *testing.T) {
+func TestDelayedStartAfterWorkerRestart(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
-		c.everyCall(fleettest.CallStart, fleettest.Fault{Late: 700 * time.Millisecond})
-		if err := c.submit(o, "job", oneWorker(), work(4*time.Second)); err != nil {
+		c.injectFault(fleettest.CallStart, fleettest.Fault{Late: 700 * time.Millisecond})
+		if err := c.submit(o, "job", fullWorkerRequest(), work(4*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
 		c.fleet.SetFault(nil)
 		c.fleet.StartAgain("w-00", 100*time.Millisecond)
 		time.Sleep(1500 * time.Millisecond)
-		if err := c.submit(o, "next", oneWorker(), work(time.Second)); err != nil {
+		if err := c.submit(o, "next", fullWorkerRequest(), work(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.await(o, "job", workload.Completed, 10*time.Second)
@@ -48,8 +48,8 @@
 	})
 }
 
-// everyCall has a fault strike each call of a kind.
-func (c *cell) everyCall(kind fleettest.Call, fault fleettest.Fault) {
+// injectFault has a fault strike each call of a kind.
+func (c *cell) injectFault(kind fleettest.Call, fault fleettest.Fault) {
 	c.fleet.SetFault(func(call fleettest.Call, _ string) fleettest.Fault {
 		if call == kind {
 			return fault
@@ -60,13 +60,13 @@
 
 // An acknowledgement meant for a former life that the next one carries out, while that lists ends
 // which nobody has read, makes it forget none of them.
-func TestAnAcknowledgementThatALaterLifeCarriesOut(t *testing.T) {
+func TestDelayedAcknowledgementAfterWorkerRestart(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
-		c.runShort(o, "before", 10)
-		c.everyCall(fleettest.CallHold, fleettest.Fault{Late: 1200 * time.Millisecond})
+		c.runShortTasks(o, "before", 10)
+		c.injectFault(fleettest.CallHold, fleettest.Fault{Late: 1200 * time.Millisecond})
 		time.Sleep(1100 * time.Millisecond) // the next report is asked for, with the mark
 		c.fleet.SetFault(nil)
 		c.fleet.StartAgain("w-00", 50*time.Millisecond)
@@ -85,7 +85,7 @@
 
 // A lease meant for a former life that the next one takes: it is by the former clock, so that the
 // worker keeps what it runs for its longest lease. Nothing of that is started elsewhere before.
-func TestALeaseThatALaterLifeTakes(t *testing.T) {
+func TestDelayedLeaseAfterWorkerRestart(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
@@ -113,7 +113,7 @@
 		time.Sleep(1500 * time.Millisecond) // until the late call has been carried out and given up
 		c.fleet.SetEntry("w-00", nil)
 		c.fleet.SetEntry("w-01", nil)
-		if err := c.submit(o, "job", oneWorker(), work(8*time.Second)); err != nil {
+		if err := c.submit(o, "job", fullWorkerRequest(), work(8*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, 2*time.Second)
@@ -125,13 +125,13 @@
 
 // Workers that do not say when they were born take starts meant for a former life. What such a
 // life is seen to run is not started elsewhere.
-func TestAStartThatReachesALaterLife(t *testing.T) {
+func TestStartReachesRestartedWorker(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
-		c.keepBirthsSecret()
+		c.hideBirthTimes()
 		o := c.rule()
 		time.Sleep(1500 * time.Millisecond)
-		c.startAllAgain(60 * time.Millisecond)
+		c.restartAllWorkers(60 * time.Millisecond)
 		time.Sleep(10 * time.Millisecond)
 		if err := c.submit(o, "job", jobOf(4, 8_000), work(time.Second)); err != nil {
 			t.Fatal(err)
@@ -143,12 +143,12 @@
 
 // A report that a former life gave before its end, and that is read after the next one has
 // answered, still counts: what was done is not started again.
-func TestTheLastEndsOfAFormerLife(t *testing.T) {
+func TestLastReportBeforeWorkerRestart(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
-		if err := c.submit(o, "job", oneWorker(), work(400*time.Millisecond)); err != nil {
+		if err := c.submit(o, "job", fullWorkerRequest(), work(400*time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, time.Second)
@@ -162,11 +162,11 @@
 
 // Workers that have started again are given work soon after their first word, as often as they
 // start, and what ran in the former life is placed again without waiting for its lease.
-func TestHowSoonAWorkerThatStartedAgainIsUsed(t *testing.T) {
+func TestRestartedWorkerIsReusedPromptly(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
-		c.fleet.Tell(&entries{c, o})
+		c.fleet.Tell(&discoveryNews{c, o})
 		time.Sleep(500 * time.Millisecond)
 		if err := c.submit(o, "work", jobOf(40, 8_000), work(time.Hour)); err != nil {
 			t.Fatal(err)
@@ -190,31 +190,31 @@
 	})
 }
 
-// entries has an owner hear at once of lives that begin, as it does of the platform's entries.
-type entries struct {
+// discoveryNews has an owner hear at once of lives that begin, as it does of the platform's discoveryNews.
+type discoveryNews struct {
 	cell  *cell
 	owner *owner
 }
 
-func (e *entries) Ended(string)              {}
-func (e *entries) Gone(string)               {}
-func (e *entries) Born(string, fleet.Worker) { e.owner.SetWorkers(e.cell.fleet.List()) }
+func (e *discoveryNews) Ended(string)              {}
+func (e *discoveryNews) Gone(string)               {}
+func (e *discoveryNews) Born(string, fleet.Worker) { e.owner.SetWorkers(e.cell.fleet.List()) }
 
 // A task that crashes its workers is given up also if these start again under their ids at once.
-func TestATaskThatCrashesWorkersThatStartAgain(t *testing.T) {
+func TestCrashingTaskOnRestartingWorkers(t *testing.T) {
 	for _, pause := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3200 * time.Millisecond} {
 		for _, during := range []struct {
 			name string
 			do   func(*cell, *owner) *owner
 			most int
-		}{{"undisturbed", undisturbed, 3}, {"with owners killed", killedAfterCrashes, 5}} {
+		}{{"undisturbed", undisturbed, 3}, {"with owners killed", killOwnerAfterCrashes, 5}} {
 			t.Run(fmt.Sprintf("after %v, %s", pause, during.name), func(t *testing.T) {
 				inCell(t, 12, func(c *cell) {
 					c.lease = shortLease
 					c.fleet.SetStartAgain(pause)
 					o := c.rule()
 					time.Sleep(500 * time.Millisecond)
-					if err := c.submit(o, "culprit", jobOf(6, 1000), crashing(0)); err != nil {
+					if err := c.submit(o, "culprit", jobOf(6, 1000), crashingPlan(0)); err != nil {
 						t.Fatal(err)
 					}
 					o = during.do(c, o)
@@ -228,7 +228,7 @@
 }
 
 // The same waves as of workers that come back under new ids give no job up either.
-func TestWavesOfStartsUnderTheSameIDs(t *testing.T) {
+func TestRestartWavesFailNoJob(t *testing.T) {
 	inCell(t, 24, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
@@ -237,7 +237,7 @@
 		jobs := 0
 		for tick := range 120 { // twelve seconds
 			if tick%33 == 20 {
-				for _, w := range c.alive() {
+				for _, w := range c.liveWorkers() {
 					if random.IntN(3) == 0 {
 						c.fleet.StartAgain(w.ID, time.Duration(50+random.IntN(3000))*time.Millisecond)
 					}
@@ -258,7 +258,7 @@
 // Discovery's entry speaks of a life that is not, as when another writer has overwritten it: the
 // worker gets nothing new, what runs there goes on and counts, and it is used again soon after
 // its own entry is back.
-func TestAnEntryOfALifeThatIsNot(t *testing.T) {
+func TestWrongDiscoveryEntry(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
@@ -295,18 +295,18 @@
 
 // An owner that takes over between two lives comes to what one that saw both knows: what ran in
 // the former is over, and is placed again without waiting for a lease.
-func TestATakeoverBetweenTwoLives(t *testing.T) {
+func TestTakeoverDuringWorkerRestart(t *testing.T) {
 	inCell(t, 3, func(c *cell) {
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
-		c.runShort(o, "before", 30)
+		c.runShortTasks(o, "before", 30)
 		if err := c.submit(o, "job", jobOf(6, 8_000), work(2*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(36, time.Second)
 		time.Sleep(300 * time.Millisecond)
 		o.kill()
-		c.startAllAgain(200 * time.Millisecond)
+		c.restartAllWorkers(200 * time.Millisecond)
 		time.Sleep(400 * time.Millisecond)
 		o = c.rule()
 		c.awaitStarts(42, 2*time.Second) // on one worker first: none is known not to be their doing
--- a/scheduler/lives_order_test.go
+++ b/scheduler/lives_order_test.go
@@ -18,27 +18,27 @@
 // event is one thing that happens, after a job has been handed in.
 type event struct {
 	Kind  eventKind
-	Which int // of the workers, or of the shapes of jobs
+	Index int // of the workers, or of the shapes of jobs
 	Pause int // in milliseconds: how long something is away, and what passes before the next event
 }
 
 type eventKind int
 
 const (
-	startAgain eventKind = iota
-	startRackAgain
-	startHalfAgain
-	startTwice
+	restartWorker eventKind = iota
+	restartRack
+	restartHalf
+	restartTwice
 	killOwner
-	freezeOwner
-	lateOrders
-	lostAnswers
-	cutWorker
-	healCalls
-	silentStore
-	stepTimeBack
-	calm
-	eventKinds
+	pauseOwner
+	delayOrders
+	loseAnswers
+	disconnectWorker
+	clearCallFaults
+	hangStore
+	stepClockBack
+	noEvent
+	eventKindCount
 )
 
 // Workers that start again under their ids, one, a rack or half of them, also twice in a row, in
@@ -46,11 +46,11 @@
 // that are lost, cuts, a silent store and a time of day that steps back: the judge of the fleet
 // sees no task started again after an end done that was noted, none after the failures that it
 // may have, and none in two places; and every job ends as its tasks do.
-func TestLivesInAnyOrder(t *testing.T) {
+func TestRandomRestartsAndFaults(t *testing.T) {
 	events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 		return event{
-			Kind:  eventKind(rapid.IntRange(0, int(eventKinds)-1).Draw(t, "kind")),
-			Which: rapid.IntRange(0, 11).Draw(t, "which"),
+			Kind:  eventKind(rapid.IntRange(0, int(eventKindCount)-1).Draw(t, "kind")),
+			Index: rapid.IntRange(0, 11).Draw(t, "which"),
 			Pause: rapid.IntRange(50, 3000).Draw(t, "pause"),
 		}
 	}), 5, 25)
@@ -62,24 +62,24 @@
 					c.t.Logf("the events: %#v", list)
 				}
 			})
-			c.play(list)
+			c.runEvents(list)
 		})
 	})
 }
 
-// play hands in a job before each event, and awaits all of them after the last.
-func (c *cell) play(events []event) {
+// runEvents hands in a job before each event, and awaits all of them after the last.
+func (c *cell) runEvents(events []event) {
 	c.lease = shortLease
 	o := c.rule()
 	time.Sleep(500 * time.Millisecond)
 	wants := map[string]workload.State{}
 	for i, e := range events {
 		name := fmt.Sprintf("job-%d", i)
-		request, plan, want := jobFor(e.Which + i)
+		request, plan, want := jobFor(e.Index + i)
 		wants[name] = want
 		c.know(name, request, plan)
 		o = c.submitSomehow(o, name, request)
-		o = c.happen(o, e)
+		o = c.applyEvent(o, e)
 		time.Sleep(time.Duration(e.Pause/4) * time.Millisecond)
 	}
 	c.fleet.SetFault(nil)
@@ -116,47 +116,47 @@
 	c.t.Errorf("job %s is %q, want %q; %d workers have ended under its tasks", name, state, want, c.fleet.EndedUnder(name))
 }
 
-// happen brings an event about, and returns who owns the shard after it.
-func (c *cell) happen(o *owner, e event) *owner {
+// applyEvent brings an event about, and returns who owns the shard after it.
+func (c *cell) applyEvent(o *owner, e event) *owner {
 	pause := time.Duration(e.Pause) * time.Millisecond
 	worker := func(number int) string { return fmt.Sprintf("w-%02d", number%12) }
 	switch e.Kind {
-	case startAgain:
-		c.fleet.StartAgain(worker(e.Which), pause)
-	case startRackAgain: // two workers have a rack
-		c.fleet.StartAgain(worker(e.Which&^1), pause)
-		c.fleet.StartAgain(worker(e.Which|1), pause/2)
-	case startHalfAgain:
+	case restartWorker:
+		c.fleet.StartAgain(worker(e.Index), pause)
+	case restartRack: // two workers have a rack
+		c.fleet.StartAgain(worker(e.Index&^1), pause)
+		c.fleet.StartAgain(worker(e.Index|1), pause/2)
+	case restartHalf:
 		for i := range 6 {
-			c.fleet.StartAgain(worker(e.Which+i), pause/time.Duration(i+1))
+			c.fleet.StartAgain(worker(e.Index+i), pause/time.Duration(i+1))
 		}
-	case startTwice:
-		c.fleet.StartAgain(worker(e.Which), 50*time.Millisecond)
+	case restartTwice:
+		c.fleet.StartAgain(worker(e.Index), 50*time.Millisecond)
 		time.Sleep(pause / 4)
-		c.fleet.StartAgain(worker(e.Which), pause/4)
+		c.fleet.StartAgain(worker(e.Index), pause/4)
 	case killOwner:
 		o.kill()
 		time.Sleep(pause)
 		return c.rule()
-	case freezeOwner:
+	case pauseOwner:
 		o.client.pause()
 		time.Sleep(pause / 2)
 		o.client.resume()
-	case lateOrders:
+	case delayOrders:
 		c.everyThird(fleettest.Fault{Late: pause})
-	case lostAnswers:
+	case loseAnswers:
 		c.everyThird(fleettest.Fault{Mute: true})
-	case cutWorker:
+	case disconnectWorker:
 		c.fleet.SetFault(func(_ fleettest.Call, to string) fleettest.Fault {
-			return fleettest.Fault{Lost: to == worker(e.Which)}
+			return fleettest.Fault{Lost: to == worker(e.Index)}
 		})
-	case healCalls:
+	case clearCallFaults:
 		c.fleet.SetFault(nil)
-	case silentStore:
+	case hangStore:
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 		time.Sleep(pause / 4)
 		o.caller.SetFault(nil)
-	case stepTimeBack:
+	case stepClockBack:
 		c.fleet.StepTimeOfDay(-time.Hour)
 	}
 	return o
--- a/scheduler/lives_test.go
+++ b/scheduler/lives_test.go
@@ -13,7 +13,7 @@
 
 // Discovery goes on naming a life for some seconds after another one has taken its
 // address, be it of the same service or of another.
-func TestAnAddressGoesToAnotherLife(t *testing.T) {
+func TestAddressReusedByAnotherWorker(t *testing.T) {
 	for _, service := range []string{testService, "another"} {
 		t.Run("of service "+service, func(t *testing.T) {
 			inCell(t, 3, func(c *cell) {
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -17,7 +17,7 @@
 // While a share of the calls to workers has no answer, short jobs are still soon done
 // once that was noticed: half a second of work and three round trips take no second for
 // nine in ten.
-func TestShortJobsWhileAnswersAreLost(t *testing.T) {
+func TestShortJobLatencyDuringCallLoss(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault fleettest.Fault
@@ -31,15 +31,15 @@
 				c.lease = shortLease
 				o := c.rule()
 				time.Sleep(time.Second)
-				var lost everyTwentieth
+				var lost callSampler
 				c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
-					if lost.next(worker) {
+					if lost.sample(worker) {
 						return test.fault
 					}
 					return fleettest.Fault{}
 				})
-				c.timesOf(o, "noticed", 40)
-				times := c.timesOf(o, "short", 60)
+				c.measureJobs(o, "noticed", 40)
+				times := c.measureJobs(o, "short", 60)
 				slices.Sort(times)
 				if most := times[len(times)*9/10]; most > time.Second {
 					t.Errorf("nine in ten were done after %v", most)
@@ -49,15 +49,15 @@
 	}
 }
 
-// everyTwentieth picks every twentieth call to each worker, the first one at a call of the
+// callSampler picks every twentieth call to each worker, the first one at a call of the
 // worker's own. A die thrown for each call in turn depends on which of the calls of one
 // moment comes first: one run in a hundred then had more than six of sixty jobs late.
-type everyTwentieth struct {
+type callSampler struct {
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-func (e *everyTwentieth) next(worker string) bool {
+func (e *callSampler) sample(worker string) bool {
 	const among = 20
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,9 +73,9 @@
 	return e.calls[worker]%among == 0
 }
 
-// timesOf hands in jobs of half a second, one after the other, and returns how long each
+// measureJobs hands in jobs of half a second, one after the other, and returns how long each
 // took until it was shown as completed.
-func (c *cell) timesOf(o *owner, name string, jobs int) []time.Duration {
+func (c *cell) measureJobs(o *owner, name string, jobs int) []time.Duration {
 	c.t.Helper()
 	var (
 		mu    sync.Mutex
@@ -102,7 +102,7 @@
 }
 
 // A new owner does not call all its workers in the same moment.
-func TestFirstCallsGoSomeAtATime(t *testing.T) {
+func TestConcurrentFirstCallsAreLimited(t *testing.T) {
 	inCell(t, 0, func(c *cell) {
 		for i := range 100 {
 			c.fleet.Add(fleet.Worker{
--- a/scheduler/relist_test.go
+++ b/scheduler/relist_test.go
@@ -11,7 +11,7 @@
 // Entries of workers lapse while the store is down. They are trusted for the two
 // seconds after its return, if the workers answer, and those that are still missing
 // then get nothing more.
-func TestWorkersWhoseEntriesLapsed(t *testing.T) {
+func TestExpiredDiscoveryEntries(t *testing.T) {
 	outage := func(c *cell, o *owner) {
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		time.Sleep(3 * time.Second)
--- a/scheduler/same_id_test.go
+++ b/scheduler/same_id_test.go
@@ -22,7 +22,7 @@
 // What settled it: of 181 attempts over as "not in the worker's report" in two recorded days each
 // was on a worker that had started again under its id before (105 of 105, and 76 of 76). One was
 // done at 6.703 s, and the owner wrote "lapsed", "ran": 494.8, at 6.799 s.
-func TestAWorkerStartsAgainUnderItsID(t *testing.T) {
+func TestWorkerRestartsUnderSameID(t *testing.T) {
 	cases := []struct {
 		name   string
 		plan   fleettest.Plan
@@ -38,12 +38,12 @@
 			inCell(t, 3, func(c *cell) {
 				c.lease = shortLease
 				if test.untold {
-					c.keepBirthsSecret()
+					c.hideBirthTimes()
 				}
 				o := c.rule()
 				time.Sleep(500 * time.Millisecond)
-				c.runShort(o, "before", 30)
-				c.startAllAgain(200 * time.Millisecond)
+				c.runShortTasks(o, "before", 30)
+				c.restartAllWorkers(200 * time.Millisecond)
 				time.Sleep(time.Second)
 				plan := func(workload.TaskID, int) fleettest.Plan { return test.plan }
 				for i := range 6 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// runShort has a number of tasks done on all workers, so that their ends are numbered on.
-func (c *cell) runShort(o *owner, id string, tasks int) {
+// runShortTasks has a number of tasks done on all workers, so that their ends are numbered on.
+func (c *cell) runShortTasks(o *owner, id string, tasks int) {
 	c.t.Helper()
 	if err := c.submit(o, id, jobOf(tasks, 1000), work(100*time.Millisecond)); err != nil {
 		c.t.Fatal(err)
@@ -68,16 +68,16 @@
 	c.await(o, id, workload.Completed, 10*time.Second)
 }
 
-// keepBirthsSecret has no worker say when it was born: only its clock tells a later life apart.
-func (c *cell) keepBirthsSecret() {
+// hideBirthTimes has no worker say when it was born: only its clock tells a later life apart.
+func (c *cell) hideBirthTimes() {
 	for _, w := range c.fleet.List() {
 		w.Born = 0
 		c.fleet.Add(w)
 	}
 }
 
-// startAllAgain has every worker end and start again under its id after a pause.
-func (c *cell) startAllAgain(pause time.Duration) {
+// restartAllWorkers has every worker end and start again under its id after a pause.
+func (c *cell) restartAllWorkers(pause time.Duration) {
 	for _, w := range c.fleet.List() {
 		c.fleet.StartAgain(w.ID, pause)
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -16,9 +16,9 @@
 
 func TestCompletesJobs(t *testing.T) {
 	chain := jobOf(4, 1000)
-	second := step(3, 2000)
+	second := newStep(3, 2000)
 	second.After = []int{0}
-	third := step(2, 500)
+	third := newStep(2, 500)
 	third.After = []int{0, 1}
 	chain.Steps = append(chain.Steps, second, third)
 
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestTicketsAreAskedAheadAndShown(t *testing.T) {
+func TestTicketsAreRequestedInAdvance(t *testing.T) {
 	inCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 		o := c.rule()
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestAnAcceptedJobIsInTheStore(t *testing.T) {
+func TestAcceptedJobIsStored(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		if err := c.submit(o, "job", jobOf(1, 1000), work(time.Minute)); err != nil {
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestTheSameIDIsOneJob(t *testing.T) {
+func TestSubmitIsIdempotent(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		for range 3 {
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestFailures(t *testing.T) {
+func TestAttemptLimit(t *testing.T) {
 	fails := func(upTo int) func(workload.TaskID, int) fleettest.Plan {
 		return func(_ workload.TaskID, attempt int) fleettest.Plan {
 			if attempt <= upTo {
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestCancelStopsWhatRuns(t *testing.T) {
+func TestCancelStopsRunningAttempts(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		o := c.rule()
 		if err := c.submit(o, "job", jobOf(10, 4000), work(time.Minute)); err != nil {
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestACheckpointIsCarriedOn(t *testing.T) {
+func TestTaskResumesFromCheckpoint(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		request := jobOf(1, 1000)
 		request.Steps[0].Checkpoints = true
@@ -173,14 +173,14 @@
 		for _, w := range c.fleet.List() {
 			c.fleet.Crash(w.ID) // the one that runs it, and the other
 		}
-		c.fleet.Add(fleet.Worker{Life: fleet.Life{ID: "w-9"}, Service: testService, Capacity: o.capacity()})
+		c.fleet.Add(fleet.Worker{Life: fleet.Life{ID: "w-9"}, Service: testService, Capacity: o.workerCapacity()})
 		// The lease of the dead worker must run out first; then some three seconds
 		// of work are left.
 		c.await(o, "job", workload.Completed, 13*time.Second)
 	})
 }
 
-func TestPendingCountsJobsThatHaveNotBegun(t *testing.T) {
+func TestPendingCountsUnstartedJobs(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		for _, id := range []string{"a", "b", "c"} {
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestRoundsBeginWhenTheyAreDue(t *testing.T) {
+func TestRoundsStartOnSchedule(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		request := jobOf(2, 1000)
 		request.Rounds, request.Interval = 3, 2*time.Second
@@ -222,7 +222,7 @@
 	})
 }
 
-func TestALastingStepIsStartedAgain(t *testing.T) {
+func TestLastingStepIsRestarted(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		request := jobOf(1, 1000)
 		request.Steps[0].Lasting = true
@@ -242,7 +242,7 @@
 	})
 }
 
-func TestADrainingWorkerGetsNothingNew(t *testing.T) {
+func TestDrainingWorkerGetsNoStarts(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		o := c.rule()
 		c.fleet.SetDraining("w-00")
@@ -260,7 +260,7 @@
 	})
 }
 
-func TestRefusesWhileTheStoreIsDown(t *testing.T) {
+func TestSubmitIsRefusedDuringStoreOutage(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
@@ -283,7 +283,7 @@
 	})
 }
 
-func TestUnconfirmedIsNotRefused(t *testing.T) {
+func TestSubmitTimeoutIsUnconfirmed(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
@@ -299,7 +299,7 @@
 	})
 }
 
-func TestFinalJobsAreForgottenAfterTheirTime(t *testing.T) {
+func TestFinalJobsExpire(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		if err := c.submit(o, "job", jobOf(1, 1000), work(time.Second)); err != nil {
@@ -320,7 +320,7 @@
 }
 
 // Lanes may be told anew while they are being asked; the race detector judges.
-func TestLanesAreToldAnewWhileAsked(t *testing.T) {
+func TestSetLanesDuringAdviceCalls(t *testing.T) {
 	inCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 		o := c.rule()
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -10,7 +10,7 @@
 
 // An owner whose machine was suspended extends leases no longer after the store's last word
 // than one whose was not: a successor counts from there when they have run out.
-func TestASuspendedOwnerExtendsNoLeases(t *testing.T) {
+func TestSuspendedOwnerDoesNotExtendLeases(t *testing.T) {
 	const confirmedFor = 5 * time.Second
 	cases := []struct{ suspended, extends time.Duration }{
 		{0, confirmedFor},
