--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -26,7 +26,7 @@
 	gigabyte    = 1 << 30
 )
 
-// cell is a store, workers, and at most one owner that is meant to rule.
+// cell is an in-memory row store, a fleet of workers and the owners of one shard.
 type cell struct {
 	t           *testing.T
 	ctx         context.Context
@@ -35,15 +35,15 @@
 	queue       workload.Queue
 	lease       time.Duration
 	workerTimes scheduler.WorkerTimes // zero: the defaults
-	// evacuateWithin is how long after an evacuation starts may begin in the data hall; 0: owners
-	// hear of none.
+	// evacuateWithin is how long after an evacuation attempts may still start in the data hall; 0
+	// leaves owners without evacuation data.
 	evacuateWithin time.Duration
 }
 
-// shortLease is the lease that nodes give unless their settings say otherwise.
+// shortLease is the default lease of nodes.
 const shortLease = 3 * time.Second
 
-// owner is one node's term in a test.
+// owner is a scheduler that runs the shard for one term, with its connections.
 type owner struct {
 	*scheduler.Scheduler
 	caller    *memory.Caller
@@ -52,25 +52,23 @@
 	runResult chan error
 }
 
-// pausableClient lets a test keep an owner's calls to workers back, as a machine
-// that stands still does.
+// pausableClient is a fleet client whose calls a test can suspend, or block to one worker.
 type pausableClient struct {
 	fleet.Client
 	mu      sync.Mutex
 	resumed chan struct{} // closed: calls go through
-	blocked string        // the worker that this owner does not reach
-	// extendedAt is when a lease was last extended.
+	blocked string        // the worker whose calls get no answer
+	// extendedAt is the time of the last call that extended a lease.
 	extendedAt time.Time
 }
 
-// lastExtended returns when this owner has last extended a lease.
 func (c *pausableClient) lastExtended() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.extendedAt
 }
 
-// cutOff keeps this owner's calls from a worker; others reach it.
+// cutOff blocks this owner's calls to a worker. Calls of other owners go through.
 func (c *pausableClient) cutOff(worker string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +122,7 @@
 	return c.Client.Hold(ctx, w, o)
 }
 
-// Cancel and State ask as a caller without an account, as who handed the test's jobs in.
+// Cancel and State act without a client account, like submit.
 func (o *owner) Cancel(ctx context.Context, id string) error {
 	return o.Scheduler.Cancel(ctx, "", id)
 }
@@ -133,7 +131,8 @@
 	return o.Scheduler.State(ctx, "", id)
 }
 
-// inCell runs a test in a bubble with its own clock.
+// inCell runs a test on a cell, in a synctest bubble, and fails it for every violation that the
+// fleet has recorded.
 func inCell(t *testing.T, workers int, test func(*cell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -154,11 +153,11 @@
 		for _, broken := range c.fleet.Broken() {
 			t.Error(broken)
 		}
-		time.Sleep(time.Minute) // late calls end within the bubble
+		time.Sleep(time.Minute) // lets delayed calls finish within the bubble
 	})
 }
 
-// rule makes a new node the owner.
+// rule takes the shard over with a new term and runs its owner.
 func (c *cell) rule() *owner {
 	c.t.Helper()
 	caller := c.store.Caller()
@@ -170,7 +169,7 @@
 		term, err := leadership.Take(c.ctx, caller, testShard, "node", "address", seen)
 		var deposed *leadership.DeposedError
 		if errors.As(err, &deposed) {
-			continue // the former owner wrote in between
+			continue // the previous owner wrote to the row in between
 		}
 		if err != nil {
 			c.t.Fatal(err)
@@ -208,7 +207,7 @@
 	return o
 }
 
-// submit hands a job in as the test's caller.
+// submit registers a job with the fleet and submits it without a client account.
 func (c *cell) submit(o *owner, id string, request workload.Request, plan func(workload.TaskID, int) fleettest.Plan) error {
 	c.know(id, request, plan)
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
@@ -220,7 +219,7 @@
 	c.fleet.Know(id, fleettest.Kind{Request: request, Attempts: c.queue.Attempts, Advised: c.queue.Advice.Needed(), Plan: plan})
 }
 
-// await waits until a job is in a state.
+// await polls until a job is in a state, and fails the test if it is not within a time.
 func (c *cell) await(o *owner, id string, want workload.State, within time.Duration) {
 	c.t.Helper()
 	state := workload.State("")
@@ -242,7 +241,7 @@
 	return workload.Step{Count: count, Need: resource.Amount{CPU: cpu, Memory: gigabyte}, Estimate: time.Second}
 }
 
-// work returns a plan in which every attempt takes a time and ends well.
+// work returns a plan in which every attempt succeeds after a time.
 func work(d time.Duration) func(workload.TaskID, int) fleettest.Plan {
 	return func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: d} }
 }
--- a/scheduler/fault_test.go
+++ b/scheduler/fault_test.go
@@ -14,24 +14,23 @@
 	"chutereach/workload"
 )
 
-// faultCase is something that goes wrong in a run, from a moment on and for a
-// while.
+// faultCase is a fault that is injected into a run for a while.
 type faultCase struct {
 	name string
-	// begin starts it and returns what ends it.
+	// begin injects the fault and returns the function that ends it.
 	begin func(*faultRun) func()
 }
 
-// faultRun is a cell with jobs, and the owner that rules now.
+// faultRun is a cell with its current owner.
 type faultRun struct {
 	*cell
 	mu      sync.Mutex
 	current *owner
 	rng     *lockedRand
-	added   int
+	added   int // workers added in place of crashed ones
 }
 
-// lockedRand are random numbers for several goroutines.
+// lockedRand is a random number generator that is safe for concurrent use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -49,7 +48,7 @@
 	return d.rng.IntN(n)
 }
 
-// replaceOwner replaces the owner. The former one is left as it is.
+// replaceOwner takes the shard over with a new owner. The previous one keeps running.
 func (r *faultRun) replaceOwner() {
 	next := r.rule()
 	r.mu.Lock()
@@ -74,11 +73,11 @@
 	return func() { r.fleet.SetFault(nil) }
 }
 
-// injectRandomFault makes a fault strike some of the calls.
-func (r *faultRun) injectRandomFault(x float64, fault fleettest.Fault, kinds ...fleettest.Call) func() {
+// injectRandomFault applies a fault to a share of the calls of some kinds.
+func (r *faultRun) injectRandomFault(share float64, fault fleettest.Fault, kinds ...fleettest.Call) func() {
 	return r.injectFleetFault(func(call fleettest.Call, _ string) fleettest.Fault {
 		for _, kind := range kinds {
-			if kind == call && r.rng.Float64() < x {
+			if kind == call && r.rng.Float64() < share {
 				return fault
 			}
 		}
@@ -88,33 +87,33 @@
 
 var noCleanup = func() {}
 
-// restartWorkers has workers end at once, and each start again under its id after a pause.
+// restartWorkers ends workers at once and restarts each under its ID after a random delay.
 func (r *faultRun) restartWorkers(ids ...string) {
 	for _, id := range ids {
 		r.fleet.StartAgain(id, r.rng.restartDelay())
 	}
 }
 
-// restartDelay draws how long a worker is away that starts again.
+// restartDelay returns a random time that a worker takes to restart.
 func (d *lockedRand) restartDelay() time.Duration {
 	return time.Duration(50+d.IntN(4950)) * time.Millisecond
 }
 
-// faultCases are the faults that the tests bring about, alone and in pairs.
+// faultCases are the faults that tests inject, alone and in pairs.
 var faultCases = []faultCase{
-	{"starts carried out late", func(r *faultRun) func() {
+	{"starts delayed", func(r *faultRun) func() {
 		return r.injectRandomFault(0.3, fleettest.Fault{Late: 2 * time.Second}, fleettest.CallStart)
 	}},
-	{"orders carried out very late", func(r *faultRun) func() {
+	{"orders delayed beyond their leases", func(r *faultRun) func() {
 		return r.injectRandomFault(0.2, fleettest.Fault{Late: 11 * time.Second}, fleettest.CallStart, fleettest.CallStop, fleettest.CallHold)
 	}},
-	{"answers of workers lost", func(r *faultRun) func() {
+	{"worker responses lost", func(r *faultRun) func() {
 		return r.injectRandomFault(0.3, fleettest.Fault{Mute: true}, fleettest.CallStart, fleettest.CallStop, fleettest.CallHold)
 	}},
 	{"workers busy", func(r *faultRun) func() {
 		return r.injectRandomFault(0.3, fleettest.Fault{Busy: true}, fleettest.CallStart)
 	}},
-	{"a worker cut off", func(r *faultRun) func() {
+	{"a worker unreachable", func(r *faultRun) func() {
 		return r.injectFleetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
 			return fleettest.Fault{Lost: worker == "w-01"}
 		})
@@ -130,27 +129,27 @@
 			})
 		}
 	}},
-	{"a worker starts again under its id", func(r *faultRun) func() {
+	{"a worker restarts under its id", func(r *faultRun) func() {
 		r.fleet.StartAgain("w-03", r.rng.restartDelay())
 		return noCleanup
 	}},
-	{"most of the workers start again, twice", func(r *faultRun) func() {
+	{"most workers restart twice", func(r *faultRun) func() {
 		r.restartWorkers("w-00", "w-01", "w-02")
 		return func() { r.restartWorkers("w-01", "w-02", "w-03") }
 	}},
-	{"the store slow", func(r *faultRun) func() {
+	{"store slow", func(r *faultRun) func() {
 		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Slow: 300 * time.Millisecond} })
 	}},
-	{"the store refuses", func(r *faultRun) func() {
+	{"store refuses calls", func(r *faultRun) func() {
 		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 	}},
-	{"the store silent", func(r *faultRun) func() {
+	{"store does not answer", func(r *faultRun) func() {
 		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 	}},
-	{"answers of the store lost", func(r *faultRun) func() {
+	{"store responses lost", func(r *faultRun) func() {
 		return r.injectStoreFault(func(write bool) memory.Fault { return memory.Fault{Mute: write && r.rng.Float64() < 0.35} })
 	}},
-	{"writes carried out late", func(r *faultRun) func() {
+	{"writes delayed", func(r *faultRun) func() {
 		return r.injectStoreFault(func(write bool) memory.Fault {
 			if write && r.rng.Float64() < 0.35 {
 				return memory.Fault{Late: time.Duration(1+r.rng.IntN(5)) * time.Second}
@@ -158,15 +157,15 @@
 			return memory.Fault{}
 		})
 	}},
-	{"the owner dies", func(r *faultRun) func() {
+	{"owner crashes", func(r *faultRun) func() {
 		r.owner().kill()
 		return r.replaceOwner
 	}},
-	{"the owner is deposed and does not know", func(r *faultRun) func() {
+	{"owner is deposed without notice", func(r *faultRun) func() {
 		r.replaceOwner()
 		return noCleanup
 	}},
-	{"the owner stands still and wakes", func(r *faultRun) func() {
+	{"owner stalls and resumes", func(r *faultRun) func() {
 		old := r.owner()
 		old.client.pause()
 		old.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
@@ -176,14 +175,14 @@
 			old.caller.SetFault(nil)
 		}
 	}},
-	{"the shard is handed over", func(r *faultRun) func() {
+	{"planned handover", func(r *faultRun) func() {
 		r.owner().Pause()
 		r.replaceOwner()
 		return noCleanup
 	}},
 }
 
-// submitJobs gives the run some jobs of every form.
+// submitJobs submits a plain job, a gang, a chain of steps and one spread over workers.
 func (r *faultRun) submitJobs(prefix string) []string {
 	gang := jobOf(4, 4500)
 	gang.Steps[0].Gang, gang.Steps[0].Checkpoints = true, true
@@ -203,7 +202,7 @@
 	return ids
 }
 
-// submitUntilAccepted hands a job in again and again, as a client does.
+// submitUntilAccepted retries a submission, as a client does.
 func (r *faultRun) submitUntilAccepted(id string, request workload.Request) {
 	for range 60 {
 		if r.submit(r.owner(), id, request, r.plan) == nil || r.ctx.Err() != nil {
@@ -213,7 +212,7 @@
 	}
 }
 
-// plan lets some attempts fail, and gives each task a time of its own.
+// plan varies the duration by task, and fails the first attempt of some.
 func (r *faultRun) plan(task workload.TaskID, attempt int) fleettest.Plan {
 	seed := task.Index*7 + task.Step*3 + len(task.Job)
 	plan := fleettest.Plan{Work: time.Duration(400+200*(seed%9)) * time.Millisecond}
@@ -223,14 +222,13 @@
 	return plan
 }
 
-// runFaults runs jobs through troubles that begin at moments a seed draws, and
-// expects that all are completed and no promise is broken.
+// runFaults injects faults at random times while jobs run, and expects that every job completes.
 func runFaults(t *testing.T, seed uint64, lease time.Duration, list ...faultCase) {
 	t.Helper()
 	inCell(t, 4, func(c *cell) {
 		c.lease = lease
 		random := &lockedRand{rng: rand.New(rand.NewPCG(seed, 1))}
-		c.queue.Attempts = 30 // the judge counts failures; none may end a job
+		c.queue.Attempts = 30 // no job may reach its limit of failures
 		r := &faultRun{cell: c, rng: random}
 		r.replaceOwner()
 		time.Sleep(100 * time.Millisecond)
@@ -248,8 +246,8 @@
 	})
 }
 
-// awaitCompleted waits until the owner of the moment shows a job as completed. One under which two
-// workers have ended as soon as its tasks had begun there may be given up.
+// awaitCompleted waits until the current owner reports a job as completed. A job with a task that
+// ran on two or more workers as they ended may have failed instead.
 func (r *faultRun) awaitCompleted(id string, within time.Duration) {
 	r.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -284,15 +282,15 @@
 	}
 }
 
-// The regression of day fresh-1df3: the answer to a start was lost, the attempt
-// ended at once, and the start that was sent again was refused as outdated.
+// Guards against losing an attempt that ends before its start is answered: the response is lost,
+// and the worker refuses the repeated start as outdated.
 func TestAttemptEndsBeforeStartIsAnswered(t *testing.T) {
 	for _, outcome := range []fleet.Outcome{fleet.Done, fleet.Failed} {
 		t.Run(string(outcome), func(t *testing.T) {
 			inCell(t, 3, func(c *cell) {
 				c.queue.Attempts = 2
-				// Reports are lost for two seconds, and so is the answer to the first
-				// start of each worker.
+				// Reports are lost for two seconds, and so is the response to the first start on
+				// each worker.
 				began, started := time.Now(), map[string]bool{}
 				var mu sync.Mutex
 				c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
@@ -311,7 +309,7 @@
 					}
 					return fleettest.Plan{Work: time.Second}
 				}
-				time.Sleep(1600 * time.Millisecond) // calls that were held open before the silence have ended
+				time.Sleep(1600 * time.Millisecond) // calls opened before the reports are lost have ended
 				if err := c.submit(o, "job", jobOf(3, 9000), plan); err != nil {
 					t.Fatal(err)
 				}
@@ -321,8 +319,8 @@
 	}
 }
 
-// Grants that the store takes longer to write than their tickets last come to
-// nothing, at no worker's cost.
+// A grant that is written to the store only after its ticket has expired is dropped without a call
+// to the worker.
 func TestNoStartWithExpiredTicket(t *testing.T) {
 	inCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
@@ -340,7 +338,7 @@
 		o.caller.SetFault(nil)
 		c.await(o, "waiting", workload.Completed, 20*time.Second)
 		if got := c.fleet.Refused(fleet.NoTicket); got != 0 {
-			t.Errorf("%d starts were refused for their tickets", got)
+			t.Errorf("%d starts refused for their tickets, want 0", got)
 		}
 	})
 }
--- a/scheduler/later_life_test.go
+++ b/scheduler/later_life_test.go
@@ -13,10 +13,10 @@
 	"chutereach/workload"
 )
 
-// fullWorkerRequest returns a job whose task fills a worker and lasts for a while.
+// fullWorkerRequest returns a request with one task that takes all CPU of a worker.
 func fullWorkerRequest() workload.Request { return jobOf(1, 16_000) }
 
-// assertStarts checks how many attempts have begun.
+// assertStarts checks the number of attempts that the fleet has started.
 func (c *cell) assertStarts(want int) {
 	c.t.Helper()
 	if got := c.fleet.Starts(); got != want {
@@ -24,9 +24,9 @@
 	}
 }
 
-// A start without answer that the next life of its worker carries out, after it is known that
-// the former one is over: the attempt is stopped there, and what it takes there is not given to
-// another until then.
+// A start without an answer is executed only after its worker has restarted, when the owner has
+// already ended the attempt. The stray attempt is stopped, and its capacity is not reassigned
+// before that.
 func TestDelayedStartAfterWorkerRestart(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		c.lease = shortLease
@@ -48,7 +48,7 @@
 	})
 }
 
-// injectFault has a fault strike each call of a kind.
+// injectFault applies a fault to every call of a kind.
 func (c *cell) injectFault(kind fleettest.Call, fault fleettest.Fault) {
 	c.fleet.SetFault(func(call fleettest.Call, _ string) fleettest.Fault {
 		if call == kind {
@@ -58,8 +58,8 @@
 	})
 }
 
-// An acknowledgement meant for a former life that the next one carries out, while that lists ends
-// which nobody has read, makes it forget none of them.
+// Guards against losing ends of attempts: an acknowledgement sent before a worker's restart, and
+// executed after it, must not make the worker discard ends that the owner has not read.
 func TestDelayedAcknowledgementAfterWorkerRestart(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		c.lease = shortLease
@@ -67,7 +67,7 @@
 		time.Sleep(500 * time.Millisecond)
 		c.runShortTasks(o, "before", 10)
 		c.injectFault(fleettest.CallHold, fleettest.Fault{Late: 1200 * time.Millisecond})
-		time.Sleep(1100 * time.Millisecond) // the next report is asked for, with the mark
+		time.Sleep(1100 * time.Millisecond) // the next Hold call, with the acknowledged sequence, is under way
 		c.fleet.SetFault(nil)
 		c.fleet.StartAgain("w-00", 50*time.Millisecond)
 		time.Sleep(200 * time.Millisecond)
@@ -83,14 +83,15 @@
 	})
 }
 
-// A lease meant for a former life that the next one takes: it is by the former clock, so that the
-// worker keeps what it runs for its longest lease. Nothing of that is started elsewhere before.
+// A lease extension sent before a worker's restart is executed after it. Its deadline is by the old
+// clock, so that the worker runs attempts for up to its longest lease. No task may start elsewhere
+// before that has expired.
 func TestDelayedLeaseAfterWorkerRestart(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
-		time.Sleep(5 * time.Second)                   // so that the former clock is ahead
-		for i, id := range []string{"w-00", "w-01"} { // discovery goes on naming the former lives
+		time.Sleep(5 * time.Second)                   // the old clock must be ahead of the new one
+		for i, id := range []string{"w-00", "w-01"} { // discovery keeps the entries from before the restart
 			c.fleet.SetEntry(id, func(w fleet.Worker) fleet.Worker {
 				w.Born = int64(1 + i)
 				return w
@@ -110,7 +111,7 @@
 		for struck.Load() < 2 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(1500 * time.Millisecond) // until the late call has been carried out and given up
+		time.Sleep(1500 * time.Millisecond) // the delayed call has been executed and has timed out
 		c.fleet.SetEntry("w-00", nil)
 		c.fleet.SetEntry("w-01", nil)
 		if err := c.submit(o, "job", fullWorkerRequest(), work(8*time.Second)); err != nil {
@@ -123,8 +124,8 @@
 	})
 }
 
-// Workers that do not say when they were born take starts meant for a former life. What such a
-// life is seen to run is not started elsewhere.
+// A worker that does not report its start time accepts starts sent before its restart. Attempts
+// that its report lists are not started elsewhere.
 func TestStartReachesRestartedWorker(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
@@ -141,8 +142,8 @@
 	})
 }
 
-// A report that a former life gave before its end, and that is read after the next one has
-// answered, still counts: what was done is not started again.
+// Guards against repeating finished tasks: a report sent before the worker's restart counts also
+// when it is processed after the restarted worker has answered.
 func TestLastReportBeforeWorkerRestart(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
@@ -153,15 +154,15 @@
 		}
 		c.awaitStarts(1, time.Second)
 		host := c.fleet.HostOf("job.0.0.0")
-		time.Sleep(430 * time.Millisecond) // the end has been listed, and is being written
+		time.Sleep(430 * time.Millisecond) // the end was reported and its write is under way
 		c.fleet.StartAgain(host, 50*time.Millisecond)
 		c.await(o, "job", workload.Completed, 5*time.Second)
 		c.assertStarts(1)
 	})
 }
 
-// Workers that have started again are given work soon after their first word, as often as they
-// start, and what ran in the former life is placed again without waiting for its lease.
+// A restarted worker gets work soon after its first answer, and attempts lost in the restart are
+// rescheduled without waiting for their lease.
 func TestRestartedWorkerIsReusedPromptly(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
 		c.lease = shortLease
@@ -184,13 +185,13 @@
 		}
 		slices.Sort(times)
 		if half := times[len(times)/2]; half > 500*time.Millisecond {
-			t.Errorf("half of the workers were used within %v, want 500ms", half)
+			t.Errorf("median time from restart to first start is %v, want 500ms at most", half)
 		}
-		t.Logf("from a worker's first word to its first start: half within %v, the last %v", times[len(times)/2], times[len(times)-1])
+		t.Logf("time from restart to first start: median %v, maximum %v", times[len(times)/2], times[len(times)-1])
 	})
 }
 
-// discoveryNews has an owner hear at once of lives that begin, as it does of the platform's discoveryNews.
+// discoveryNews passes new workers to an owner at once, like the platform's discovery.
 type discoveryNews struct {
 	cell  *cell
 	owner *owner
@@ -200,7 +201,7 @@
 func (e *discoveryNews) Gone(string)               {}
 func (e *discoveryNews) Born(string, fleet.Worker) { e.owner.SetWorkers(e.cell.fleet.List()) }
 
-// A task that crashes its workers is given up also if these start again under their ids at once.
+// A task that crashes its workers is given up also if they restart under the same IDs.
 func TestCrashingTaskOnRestartingWorkers(t *testing.T) {
 	for _, pause := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3200 * time.Millisecond} {
 		for _, during := range []struct {
@@ -227,7 +228,8 @@
 	}
 }
 
-// The same waves as of workers that come back under new ids give no job up either.
+// Guards against blaming jobs for workers that restart together under the same IDs. See
+// TestCrashWavesFailNoJob for new IDs.
 func TestRestartWavesFailNoJob(t *testing.T) {
 	inCell(t, 24, func(c *cell) {
 		c.lease = shortLease
@@ -235,7 +237,7 @@
 		time.Sleep(500 * time.Millisecond)
 		random := rand.New(rand.NewPCG(1, 3))
 		jobs := 0
-		for tick := range 120 { // twelve seconds
+		for tick := range 120 { // 12 s
 			if tick%33 == 20 {
 				for _, w := range c.liveWorkers() {
 					if random.IntN(3) == 0 {
@@ -255,9 +257,8 @@
 	})
 }
 
-// Discovery's entry speaks of a life that is not, as when another writer has overwritten it: the
-// worker gets nothing new, what runs there goes on and counts, and it is used again soon after
-// its own entry is back.
+// A worker's discovery entry has a wrong start time, as when another writer has overwritten it. The
+// worker gets no starts, its running attempts count, and it is used again once the entry is right.
 func TestWrongDiscoveryEntry(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
@@ -277,24 +278,24 @@
 		}
 		c.await(o, "job", workload.Completed, 4*time.Second)
 		if got := c.fleet.Starts(); got > 8 {
-			t.Errorf("%d starts while one worker of two has no sound entry, want 8 at most", got)
+			t.Errorf("%d starts while one worker of two has a wrong entry, want 8 at most", got)
 		}
 		time.Sleep(1100 * time.Millisecond)
 		if host := c.fleet.RunningOn("w-00"); host != 0 {
-			t.Errorf("%d attempts on the worker without a sound entry", host)
+			t.Errorf("%d attempts on the worker with a wrong entry, want 0", host)
 		}
 		c.fleet.SetEntry("w-00", nil)
-		time.Sleep(time.Second) // a look at discovery each half second
+		time.Sleep(time.Second) // workers are listed every 500 ms
 		if host := c.fleet.RunningOn("w-00"); host == 0 {
-			t.Error("the worker is not used, and its entry is sound again")
+			t.Error("no attempts on the worker after its entry was corrected")
 		}
 		c.await(o, "next", workload.Completed, 8*time.Second)
 		c.assertStarts(12)
 	})
 }
 
-// An owner that takes over between two lives comes to what one that saw both knows: what ran in
-// the former is over, and is placed again without waiting for a lease.
+// An owner that takes over while workers restart learns that the attempts from before the restart
+// are over, and reschedules them without waiting for their lease.
 func TestTakeoverDuringWorkerRestart(t *testing.T) {
 	inCell(t, 3, func(c *cell) {
 		o := c.rule()
@@ -309,7 +310,7 @@
 		c.restartAllWorkers(200 * time.Millisecond)
 		time.Sleep(400 * time.Millisecond)
 		o = c.rule()
-		c.awaitStarts(42, 2*time.Second) // on one worker first: none is known not to be their doing
+		c.awaitStarts(42, 2*time.Second) // on one worker at first: the step is suspected of the crashes
 		c.await(o, "job", workload.Completed, 4*time.Second)
 		c.assertStarts(42)
 	})
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -34,7 +34,7 @@
 	oneRack := jobOf(4, 4000)
 	oneRack.Steps[0].SameRack = true
 
-	wide := jobOf(60, 4000) // more than there is room for at once
+	wide := jobOf(60, 4000) // exceeds the capacity of the fleet
 
 	cases := []struct {
 		name    string
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		if _, ok := c.store.Row(rowstore.Key{Table: "jobs", Partition: testShard, Name: "job"}); !ok {
-			t.Error("the job was accepted and is not in the store")
+			t.Error("accepted job has no row in the store")
 		}
 	})
 }
@@ -152,11 +152,11 @@
 		c.await(o, "job", workload.Cancelled, time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
 		if running := c.fleet.Running(); running != 0 {
-			t.Errorf("%d attempts still run", running)
+			t.Errorf("%d attempts still running after the cancellation, want 0", running)
 		}
 		var notJob *scheduler.NotJobError
 		if err := o.Cancel(c.ctx, "other"); !errors.As(err, &notJob) {
-			t.Errorf("cancelling an unknown job: %v", err)
+			t.Errorf("Cancel of an unknown job: got %v, want NotJobError", err)
 		}
 	})
 }
@@ -171,11 +171,10 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, w := range c.fleet.List() {
-			c.fleet.Crash(w.ID) // the one that runs it, and the other
+			c.fleet.Crash(w.ID)
 		}
 		c.fleet.Add(fleet.Worker{Life: fleet.Life{ID: "w-9"}, Service: testService, Capacity: o.workerCapacity()})
-		// The lease of the dead worker must run out first; then some three seconds
-		// of work are left.
+		// The lease of the crashed worker expires first; then about 3 s of work remain.
 		c.await(o, "job", workload.Completed, 13*time.Second)
 	})
 }
@@ -193,7 +192,7 @@
 			t.Errorf("%d pending, want 2", got)
 		}
 		if got := o.Pending("others"); got != 0 {
-			t.Errorf("%d pending of another queue, want 0", got)
+			t.Errorf("%d pending in another queue, want 0", got)
 		}
 	})
 }
@@ -252,7 +251,7 @@
 		}
 		c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
 			if call == fleettest.CallStart && worker == "w-00" {
-				t.Error("a draining worker was told to start something")
+				t.Error("start sent to a draining worker")
 			}
 			return fleettest.Fault{}
 		})
@@ -270,15 +269,15 @@
 		err := c.submit(o, "job", jobOf(1, 1000), work(time.Second))
 		var overloaded *scheduler.OverloadedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
-			t.Errorf("got %v, want to be told when to come back", err)
+			t.Errorf("got %v, want OverloadedError with RetryAfter", err)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
-			t.Errorf("refused after %v, want at once", took)
+			t.Errorf("refused after %v, want 10ms at most", took)
 		}
 		o.caller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
-			t.Errorf("a refused job was started %d times", got)
+			t.Errorf("refused job has %d starts, want 0", got)
 		}
 	})
 }
@@ -311,15 +310,15 @@
 		time.Sleep(time.Minute)
 		var notJob *scheduler.NotJobError
 		if _, err := o.State(c.ctx, "job"); !errors.As(err, &notJob) {
-			t.Errorf("after its time: %v", err)
+			t.Errorf("State after the retention time: got %v, want NotJobError", err)
 		}
 		if _, ok := c.store.Row(rowstore.Key{Table: "progress", Partition: testShard, Name: "job"}); ok {
-			t.Error("its row is still in the store")
+			t.Error("progress row of the expired job is still in the store")
 		}
 	})
 }
 
-// Lanes may be told anew while they are being asked; the race detector judges.
+// Guards against data races between SetLanes and calls for advice.
 func TestSetLanesDuringAdviceCalls(t *testing.T) {
 	inCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
