--- a/scheduler/answers_test.go
+++ b/scheduler/answers_test.go
@@ -12,11 +12,11 @@
 		least time.Duration
 		most  time.Duration
 	}{
-		{"nothing known", nil, mostLimit, mostLimit},
+		{"no samples", nil, mostLimit, mostLimit},
 		{"quick answers", repeated(6*time.Millisecond, 50), leastLimit, leastLimit},
 		{"slow answers", repeated(100*time.Millisecond, 50), 100 * time.Millisecond, 150 * time.Millisecond},
 		{"very slow answers", repeated(time.Second, 50), mostLimit, mostLimit},
-		{"quick ones after slow ones", append(repeated(200*time.Millisecond, 20), repeated(5*time.Millisecond, 60)...), leastLimit, leastLimit},
+		{"quick answers after slow ones", append(repeated(200*time.Millisecond, 20), repeated(5*time.Millisecond, 60)...), leastLimit, leastLimit},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	return list
 }
 
-// recordCalls tells a of a number of calls of which every nth had no answer; 0: none.
+// recordCalls records a number of calls, of which every nth had no answer; if nth is 0, all had one.
 func recordCalls(a *answers, calls, nth int) {
 	for i := range calls {
 		a.came(nth == 0 || (i+1)%nth != 0)
@@ -49,7 +49,7 @@
 func assertLossy(t *testing.T, a answers, want bool) {
 	t.Helper()
 	if a.lossy != want {
-		t.Errorf("lossy %v at a loss of %.4f, want %v", a.lossy, a.loss, want)
+		t.Errorf("lossy is %v at a loss of %.4f, want %v", a.lossy, a.loss, want)
 	}
 }
 
@@ -69,7 +69,7 @@
 		recordCalls(&a, 2000, 500)
 		assertLossy(t, a, false)
 	})
-	t.Run("over", func(t *testing.T) {
+	t.Run("one call in 25, then none", func(t *testing.T) {
 		var a answers
 		recordCalls(&a, 500, 25)
 		recordCalls(&a, 1000, 0)
@@ -77,8 +77,8 @@
 	})
 }
 
-// An owner that is late itself takes no call without answer for the workers' fault, and
-// waits for longer.
+// An owner whose own timers are late ignores calls without an answer when it estimates loss, and
+// waits longer for answers.
 func TestLateOwnerIgnoresCallLoss(t *testing.T) {
 	late := time.Duration(0)
 	s := newBenchScheduler(t)
@@ -92,7 +92,7 @@
 	}
 	assertLossy(t, s.answers, false)
 	if got := s.patience(); got <= patience || got < 100*time.Millisecond {
-		t.Errorf("a late owner waits %v longer, one in time %v", got, patience)
+		t.Errorf("a late owner waits %v longer for answers, want 100ms or more and above %v", got, patience)
 	}
 	late = 0
 	for range 100 {
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -10,32 +10,21 @@
 	"chutereach/workload"
 )
 
-// Symptom: a task was started 34 times, and 34 workers ended under it, each with all that
-// ran there.
-//
-// Sequence: a worker's process ends 10 ms after it has begun the task. Its owner sees the
-// connection break, waits until the lease has run out, and grants the task again 20 ms later
-// to another worker, which ends likewise. Another life answers at the first one's address 0.2 s
-// after that.
-//
-// Cause: an attempt that was lost with its worker left no trace in the task. Only ends that a
-// worker lists as failed were counted, and a worker that has ended lists nothing.
-//
-// What settled it: the lines "attempt over", outcome lapsed, with failures 0 at each of the 34,
-// and "worker is over", why "another life answers at its address", 0.2 s after each.
+// Guards against unlimited attempts of a task that crashes its workers: a crashed worker reports no
+// failed attempt, so crashes must be counted apart from failures.
 func TestCrashingTaskIsGivenUp(t *testing.T) {
 	cases := []struct {
-		name    string
-		request workload.Request
-		during  func(c *cell, o *owner) *owner
-		crashes int // at the most; a new owner does not know what the former one saw
+		name       string
+		request    workload.Request
+		during     func(c *cell, o *owner) *owner
+		maxCrashes int // a new owner does not know which connections its predecessor saw break
 	}{
 		{"alone", jobOf(1, 1000), undisturbed, 2},
-		{"beside tasks of its step that do not", jobOf(6, 1000), undisturbed, 2},
+		{"with sound tasks in the same step", jobOf(6, 1000), undisturbed, 2},
 		{"in a gang", gangOf(3, 2000), undisturbed, 2},
-		{"that lasts", newLastingRequest(1, 1000), undisturbed, 2},
-		{"and the owner is killed after each crash", jobOf(1, 1000), killOwnerAfterCrashes, 5},
-		{"and the owner is killed between a crash and its cause", jobOf(1, 1000), killOwnerAfterLeases, 5},
+		{"in a lasting step", newLastingRequest(1, 1000), undisturbed, 2},
+		{"owner killed after each crash", jobOf(1, 1000), killOwnerAfterCrashes, 5},
+		{"owner killed after the leases expired", jobOf(1, 1000), killOwnerAfterLeases, 5},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -49,14 +38,14 @@
 				o = test.during(c, o)
 				c.await(o, "culprit", workload.Failed, 30*time.Second)
 				time.Sleep(10 * time.Second)
-				c.assertCrashes("culprit.0.0.0", test.crashes)
+				c.assertCrashes("culprit.0.0.0", test.maxCrashes)
 			})
 		})
 	}
 }
 
-// crashingPlan returns a plan in which one task of each step crashes its worker as soon as it
-// has begun, and the others take a second.
+// crashingPlan returns a plan in which the task with an index crashes its worker after 10 ms, and
+// the others succeed after a second.
 func crashingPlan(index int) func(workload.TaskID, int) fleettest.Plan {
 	return func(task workload.TaskID, _ int) fleettest.Plan {
 		if task.Index == index {
@@ -68,10 +57,11 @@
 
 func undisturbed(_ *cell, o *owner) *owner { return o }
 
-// killOwnerAfterCrashes kills each of three owners as soon as a worker has crashed.
+// killOwnerAfterCrashes replaces the owner after each crash, until the job is final.
 func killOwnerAfterCrashes(c *cell, o *owner) *owner { return c.killOwners(o, 0) }
 
-// killOwnerAfterLeases kills owners when the lease of what was lost has run out.
+// killOwnerAfterLeases replaces the owner after each crash, once the leases of the lost attempts
+// have expired.
 func killOwnerAfterLeases(c *cell, o *owner) *owner { return c.killOwners(o, 3250*time.Millisecond) }
 
 func (c *cell) killOwners(o *owner, after time.Duration) *owner {
@@ -85,8 +75,8 @@
 	return o
 }
 
-// awaitCrashes waits until a number of workers have crashed, and reports whether they did
-// before the culprit's job was final.
+// awaitCrashes waits until a number of workers have crashed or the culprit job is final, and reports
+// whether it was the former.
 func (c *cell) awaitCrashes(o *owner, count int) bool {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -97,15 +87,15 @@
 			return false
 		}
 	}
-	c.t.Errorf("%d workers crashed within 20 s, and the job is not final", c.fleet.Lives())
+	c.t.Errorf("%d workers crashed within 20 s, want %d or a final job", c.fleet.Lives(), count)
 	return false
 }
 
-// assertCrashes checks how many workers a task has crashed.
-func (c *cell) assertCrashes(task string, most int) {
+// assertCrashes checks that a task has crashed at least one worker and at most a number of them.
+func (c *cell) assertCrashes(task string, limit int) {
 	c.t.Helper()
-	if got := c.fleet.Crashed(task); got == 0 || got > most {
-		c.t.Errorf("%d workers crashed under %s, want 1 to %d", got, task, most)
+	if got := c.fleet.Crashed(task); got == 0 || got > limit {
+		c.t.Errorf("%d workers crashed under %s, want 1 to %d", got, task, limit)
 	}
 }
 
@@ -121,8 +111,8 @@
 	return request
 }
 
-// Jobs whose tasks were on a worker that another job's task has crashed are completed, and
-// none of them is given up, however they are placed when they are started again.
+// Guards against failing jobs for the crashes of others: jobs that share workers with a task that
+// crashes them are completed.
 func TestJobsBesideCrashingTaskComplete(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
 		c.lease = shortLease
--- a/scheduler/crash_waves_test.go
+++ b/scheduler/crash_waves_test.go
@@ -13,18 +13,18 @@
 	"chutereach/workload"
 )
 
-// When a third of all workers end at once, three times in ten seconds, no task is to blame:
-// every job is completed, also those that had begun just before each of the waves.
+// Guards against blaming jobs for common-cause crashes: a third of all workers end at once, several
+// times, and every job is completed.
 func TestCrashWavesFailNoJob(t *testing.T) {
 	inCell(t, 24, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
-		random := rand.New(rand.NewPCG(1, 2))
+		rng := rand.New(rand.NewPCG(1, 2))
 		jobs := 0
-		for tick := range 120 { // twelve seconds
+		for tick := range 120 { // 12 s
 			if tick%33 == 20 {
-				c.crashRandomWorkers(random, 3)
+				c.crashRandomWorkers(rng, 3)
 			}
 			name := fmt.Sprintf("job-%d", jobs)
 			if err := c.submit(o, name, jobOf(2, 2000), work(700*time.Millisecond)); err != nil {
@@ -39,16 +39,16 @@
 	})
 }
 
-// crashRandomWorkers ends one in a number of the workers that live, all at once.
-func (c *cell) crashRandomWorkers(random *rand.Rand, among int) {
+// crashRandomWorkers restarts a random share of the live workers at once, on average one in n.
+func (c *cell) crashRandomWorkers(rng *rand.Rand, n int) {
 	for _, w := range c.liveWorkers() {
-		if random.IntN(among) == 0 {
+		if rng.IntN(n) == 0 {
 			c.fleet.Restart(w.ID)
 		}
 	}
 }
 
-// liveWorkers returns the workers of the fleet that run.
+// liveWorkers returns the listed workers whose process is running.
 func (c *cell) liveWorkers() []fleet.Worker {
 	var list []fleet.Worker
 	for _, w := range c.fleet.List() {
@@ -59,8 +59,7 @@
 	return list
 }
 
-// Several tasks that crash their workers begin in the same moment, again and again. Each is
-// told from the others all the same.
+// Tasks that crash their workers at the same time are each identified and given up.
 func TestSimultaneousCrashingTasks(t *testing.T) {
 	inCell(t, 24, func(c *cell) {
 		c.lease = shortLease
@@ -79,10 +78,9 @@
 	})
 }
 
-// Tasks that crash their workers, workers that crash by themselves, and owners that are
-// killed, cut off from workers or from the store, in random orders: the judge of the fleet
-// sees no promise broken, every culprit is given up, and every other job is completed, unless
-// two workers have ended under one of its tasks.
+// Random sequences of crashing tasks, unrelated worker crashes, owner failures and partitions. Every
+// crashing task is given up, and every other job is completed unless two or more workers have ended
+// under one of its tasks.
 func TestRandomCrashes(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -91,25 +89,25 @@
 	}
 }
 
-func (c *cell) runRandomCrashes(random *rand.Rand) {
+func (c *cell) runRandomCrashes(rng *rand.Rand) {
 	c.lease = shortLease
-	if random.IntN(2) == 0 {
+	if rng.IntN(2) == 0 {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 	}
 	o := c.rule()
 	time.Sleep(500 * time.Millisecond)
 	var culprits, others []string
-	for round := range 40 { // some twelve seconds
+	for round := range 40 { // about 12 s
 		name := fmt.Sprintf("job-%d", round)
-		request := jobOf(1+random.IntN(4), resource.MilliCPU(500+random.IntN(4000)))
-		request.Steps[0].Gang = random.IntN(4) == 0
-		if random.IntN(3) == 0 {
-			second := newStep(1+random.IntN(3), 1000)
+		request := jobOf(1+rng.IntN(4), resource.MilliCPU(500+rng.IntN(4000)))
+		request.Steps[0].Gang = rng.IntN(4) == 0
+		if rng.IntN(3) == 0 {
+			second := newStep(1+rng.IntN(3), 1000)
 			second.After, second.Checkpoints = []int{0}, true
 			request.Steps = append(request.Steps, second)
 		}
-		plan := work(time.Duration(200+random.IntN(1500)) * time.Millisecond)
-		if random.IntN(8) == 0 {
+		plan := work(time.Duration(200+rng.IntN(1500)) * time.Millisecond)
+		if rng.IntN(8) == 0 {
 			plan = crashingPlan(0)
 			culprits = append(culprits, name)
 		} else {
@@ -117,8 +115,8 @@
 		}
 		c.know(name, request, plan)
 		o = c.submitSomehow(o, name, request)
-		o = c.applyRandomFault(o, random)
-		time.Sleep(time.Duration(random.IntN(500)) * time.Millisecond)
+		o = c.applyRandomFault(o, rng)
+		time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 	}
 	o.caller.SetFault(nil)
 	c.fleet.SetFault(nil)
@@ -133,7 +131,7 @@
 	}
 }
 
-// submitSomehow hands a job in until it is accepted, if need be at a new owner.
+// submitSomehow submits a job until it is accepted, replacing the owner after each failure.
 func (c *cell) submitSomehow(o *owner, name string, request workload.Request) *owner {
 	c.t.Helper()
 	for range 5 {
@@ -146,21 +144,21 @@
 		time.Sleep(300 * time.Millisecond)
 		o = c.rule()
 	}
-	c.t.Errorf("job %s was not accepted", name)
+	c.t.Errorf("job %s not accepted in 5 attempts", name)
 	return o
 }
 
-// applyRandomFault does one thing or nothing.
-func (c *cell) applyRandomFault(o *owner, random *rand.Rand) *owner {
-	switch random.IntN(12) {
+// applyRandomFault applies a random fault or none, and returns the owner of the shard after it.
+func (c *cell) applyRandomFault(o *owner, rng *rand.Rand) *owner {
+	switch rng.IntN(12) {
 	case 0:
 		o.kill()
-		time.Sleep(time.Duration(random.IntN(4000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 		return c.rule()
 	case 1:
 		alive := c.liveWorkers()
 		if len(alive) > 4 {
-			c.fleet.Restart(alive[random.IntN(len(alive))].ID)
+			c.fleet.Restart(alive[rng.IntN(len(alive))].ID)
 		}
 	case 2:
 		cut := c.liveWorkers()[0].ID
@@ -171,11 +169,11 @@
 		c.fleet.SetFault(nil)
 	case 4:
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
-		time.Sleep(time.Duration(random.IntN(900)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
 		o.caller.SetFault(nil)
 	case 5:
 		o.client.pause()
-		time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
 		o.client.resume()
 	}
 	return o
--- a/scheduler/fault_test.go
+++ b/scheduler/fault_test.go
@@ -223,7 +223,7 @@
 }
 
 // runFaults injects faults at random times while jobs run, and expects that every job completes.
-func runFaults(t *testing.T, seed uint64, lease time.Duration, list ...faultCase) {
+func runFaults(t *testing.T, seed uint64, lease time.Duration, faults ...faultCase) {
 	t.Helper()
 	inCell(t, 4, func(c *cell) {
 		c.lease = lease
@@ -233,9 +233,9 @@
 		r.replaceOwner()
 		time.Sleep(100 * time.Millisecond)
 		ids := r.submitJobs("a")
-		for i, trouble := range list {
+		for i, fault := range faults {
 			time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
-			end := trouble.begin(r)
+			end := fault.begin(r)
 			ids = append(ids, r.submitJobs(string(rune('b'+i)))...)
 			time.AfterFunc(time.Duration(2000+random.IntN(3000))*time.Millisecond, end)
 		}
@@ -299,8 +299,8 @@
 					first := call == fleettest.CallStart && !started[worker]
 					started[worker] = started[worker] || first
 					age := time.Since(began)
-					silent := call == fleettest.CallHold && age > 500*time.Millisecond && age < 2500*time.Millisecond
-					return fleettest.Fault{Mute: first || silent}
+					reportLost := call == fleettest.CallHold && age > 500*time.Millisecond && age < 2500*time.Millisecond
+					return fleettest.Fault{Mute: first || reportLost}
 				})
 				o := c.rule()
 				plan := func(_ workload.TaskID, attempt int) fleettest.Plan {
--- a/scheduler/first_calls_test.go
+++ b/scheduler/first_calls_test.go
@@ -9,7 +9,7 @@
 	"chutereach/workload"
 )
 
-// recordFirstCalls notes in which order workers are called for the first time from now on.
+// recordFirstCalls records the order of the first Hold calls to workers from now on.
 func (c *cell) recordFirstCalls() func() []string {
 	var mu sync.Mutex
 	var order []string
@@ -30,7 +30,7 @@
 	}
 }
 
-// A successor hears of what has ended before discovery names any worker to it.
+// A new owner takes in finished tasks before discovery lists any worker.
 func TestSuccessorDoesNotWaitForDiscovery(t *testing.T) {
 	inCell(t, 6, func(c *cell) {
 		c.lease = shortLease
@@ -53,7 +53,8 @@
 	})
 }
 
-// Workers that do not answer hold up nobody's first call, however many there are.
+// Guards against delayed takeovers: workers that do not answer must not block the first calls to
+// others.
 func TestUnresponsiveWorkersDoNotDelayFirstCalls(t *testing.T) {
 	const (
 		workers = 400
@@ -78,14 +79,14 @@
 	})
 }
 
-// After a takeover the workers that have work are called before the idle ones, however many there
-// are: what has ended there is what callers wait for.
+// After a takeover, workers with attempts are called before idle ones, since clients wait for the
+// results there.
 func TestSuccessorCallsBusyWorkersFirst(t *testing.T) {
 	const (
 		workers = 400
 		tasks   = 40
-		// atOnce is how many first calls are under way before the workers' list is whole.
-		atOnce = 32
+		// concurrentCalls is how many first calls may go out before the busy workers are queued.
+		concurrentCalls = 32
 	)
 	inCell(t, workers, func(c *cell) {
 		o := c.rule()
@@ -112,8 +113,8 @@
 				last = i
 			}
 		}
-		if most := len(busy) + atOnce; last >= most {
-			t.Errorf("the last of %d workers with work was called after %d others, want %d at most", len(busy), last, most)
+		if limit := len(busy) + concurrentCalls; last >= limit {
+			t.Errorf("the last of %d busy workers was called after %d others, want fewer than %d", len(busy), last, limit)
 		}
 		c.await(next, "job", workload.Completed, 5*time.Second)
 	})
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -12,7 +12,7 @@
 	"chutereach/workload"
 )
 
-// startCounter notes on which worker attempts were started.
+// startCounter counts the start calls to each worker.
 type startCounter struct {
 	mu     sync.Mutex
 	starts map[string]int
@@ -30,16 +30,15 @@
 	})
 }
 
-// A worker on which all fails, or stands still, gets little after its first
-// victims, and no job is lost to it.
+// A worker on which every attempt fails or hangs gets few further starts, and fails no job.
 func TestUnhealthyWorkersAreAvoided(t *testing.T) {
 	cases := []struct {
-		name string
-		plan fleettest.Plan
-		most int // starts on the sick worker, of some 240
+		name      string
+		plan      fleettest.Plan
+		maxStarts int // starts on the unhealthy worker, of about 240
 	}{
-		{"all fails", fleettest.Plan{Work: 20 * time.Millisecond, Outcome: fleet.Failed}, 25},
-		{"all stands still", fleettest.Plan{Work: time.Minute, Hangs: true}, 40},
+		{"attempts fail", fleettest.Plan{Work: 20 * time.Millisecond, Outcome: fleet.Failed}, 25},
+		{"attempts hang", fleettest.Plan{Work: time.Minute, Hangs: true}, 40},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -63,15 +62,15 @@
 				}
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				if got := p.starts["w-03"]; got > test.most {
-					t.Errorf("the sick worker got %d starts, want %d at most", got, test.most)
+				if got := p.starts["w-03"]; got > test.maxStarts {
+					t.Errorf("the unhealthy worker got %d starts, want %d at most", got, test.maxStarts)
 				}
 			})
 		})
 	}
 }
 
-// A task that fails is tried elsewhere.
+// A failed task is retried on another worker.
 func TestFailedTaskMovesToAnotherWorker(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.queue.Attempts = 2
@@ -99,25 +98,25 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if len(workers) != 2 || workers[0] == workers[1] {
-			t.Errorf("tried on %s", strings.Join(workers, ", "))
+			t.Errorf("attempts on workers %s, want two different ones", strings.Join(workers, ", "))
 		}
 	})
 }
 
-// On a full fleet, workers that fail all they are given within moments are the ones with room.
-// They do not end jobs of many tasks of which each may fail once.
+// On a full fleet, workers that fail every attempt quickly are the ones with free capacity. They
+// must not exhaust the attempts of large jobs.
 func TestFailingWorkersOnAFullFleet(t *testing.T) {
 	inCell(t, 20, func(c *cell) {
 		c.queue.Attempts = 2
-		for _, sick := range []string{"w-04", "w-11"} {
-			c.fleet.SetSick(sick, fleettest.Plan{Work: 40 * time.Millisecond, Outcome: fleet.Failed})
+		for _, unhealthy := range []string{"w-04", "w-11"} {
+			c.fleet.SetSick(unhealthy, fleettest.Plan{Work: 40 * time.Millisecond, Outcome: fleet.Failed})
 		}
 		var p startCounter
 		p.attach(c)
 		o := c.rule()
 		time.Sleep(time.Second)
 		var ids []string
-		for i := range 40 { // more than the workers can do
+		for i := range 40 { // exceeds the capacity of the fleet
 			id := fmt.Sprintf("job-%03d", i)
 			ids = append(ids, id)
 			if err := c.submit(o, id, jobOf(24, 4000), work(800*time.Millisecond)); err != nil {
@@ -132,7 +131,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if got := p.starts["w-04"] + p.starts["w-11"]; failed > 1 || got > 40 {
-			t.Errorf("%d jobs of %d failed, and the sick workers got %d starts; want 1 and 40 at most", failed, len(ids), got)
+			t.Errorf("%d jobs of %d failed, and the unhealthy workers got %d starts; want 1 and 40 at most", failed, len(ids), got)
 		}
 	})
 }
--- a/scheduler/late_end_test.go
+++ b/scheduler/late_end_test.go
@@ -9,9 +9,9 @@
 	"chutereach/workload"
 )
 
-// A worker out of reach has done a task that its owner has given up there and is about to
-// start elsewhere; that start is lost. Once the first worker's report tells that the task is
-// done, the room that the second attempt was given is free again.
+// Guards against leaking capacity: a task is granted to a second worker after the lease on an
+// unreachable one has expired, and the start is lost. When the first worker then reports the task
+// as done, the capacity reserved on the second must be freed.
 func TestCapacityOfRedundantAttemptIsFreed(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		c.lease = shortLease
@@ -26,7 +26,7 @@
 		c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
 			return fleettest.Fault{Lost: worker == first && !reachable.Load() || worker != first && call == fleettest.CallStart}
 		})
-		time.Sleep(5200 * time.Millisecond) // the lease has run out, and the task is started elsewhere
+		time.Sleep(5200 * time.Millisecond) // the lease has expired, and the task is granted to the other worker
 		reachable.Store(true)
 		c.await(o, "job", workload.Completed, 2*time.Second)
 		c.fleet.SetFault(nil)
--- a/scheduler/late_report_test.go
+++ b/scheduler/late_report_test.go
@@ -13,14 +13,15 @@
 	"chutereach/workload"
 )
 
-// reportFixture is a scheduler with one worker that runs tasks of a job, as of its first report.
+// reportFixture is a scheduler with one worker and a job whose tasks run there.
 type reportFixture struct {
 	*Scheduler
 	worker *worker
 	job    *job
 }
 
-// newReportFixture returns a scheduler whose worker runs a number of tasks.
+// newReportFixture returns a fixture that has taken in the worker's first report, which lists all
+// tasks as running.
 func newReportFixture(t *testing.T, tasks int) *reportFixture {
 	t.Helper()
 	term, err := leadership.Take(t.Context(), memory.New().Caller(), "main", "node", "address", leadership.Sighting{})
@@ -47,14 +48,14 @@
 	return fleet.End{Sequence: sequence, Task: task, Number: 1, Outcome: fleet.Done}
 }
 
-// A report that a former life gave before its end overtakes none of the next one's, but may be
-// read after it. What was done is done.
+// Guards against losing a finished task: a report from before the worker's restart is processed
+// after the first report since the restart, and its ends still count.
 func TestReportReadAfterWorkerRestart(t *testing.T) {
 	s := newReportFixture(t, 1)
 	sent := time.Now()
 	s.takeReport(s.worker, fleet.Report{Born: 2, Clock: 1}, time.Now())
 	if s.job.state.Final() || s.workers[fleet.Life{ID: "w", Born: 2}] == nil || s.workers[s.worker.info.Life] != nil {
-		t.Fatalf("the job is %s, the lives are %v", s.job.state, s.workers)
+		t.Fatalf("after the restart: the job is %s, the workers are %v; want a running job and only the worker born at 2", s.job.state, s.workers)
 	}
 	s.takeReport(s.worker, fleet.Report{Born: 1, Clock: 6, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0")}}, sent)
 	if s.job.state != workload.Completed {
@@ -62,8 +63,8 @@
 	}
 }
 
-// A row of a report that cannot be read costs no more than that row: the others count, the attempt
-// is not taken for lost at once, and its end is not acknowledged away.
+// An unreadable row of a report affects only its own attempt: other rows are processed, the attempt
+// is not considered lost, and its end is not acknowledged before it was read.
 func TestUnreadableReportRow(t *testing.T) {
 	s := newReportFixture(t, 3)
 	s.takeReport(s.worker, fleet.Report{
@@ -75,7 +76,7 @@
 		t.Errorf("ends up to %d are acknowledged, want 1", got)
 	}
 	if left := s.job.rounds[0].steps[0].left; left != 1 || s.worker.tasks["job.0.0.1"] == nil {
-		t.Errorf("%d tasks are left, want one that is not lost", left)
+		t.Errorf("%d tasks are left, want 1 with a running attempt", left)
 	}
 	s.takeReport(s.worker, fleet.Report{
 		Born: 1, Clock: 7, Ended: []fleet.End{newDoneEnd(2, "job.0.0.1"), newDoneEnd(3, "job.0.0.2")},
--- a/scheduler/later_life_test.go
+++ b/scheduler/later_life_test.go
@@ -97,18 +97,18 @@
 				return w
 			})
 		}
-		var struck atomic.Int64
-		strikes := map[string]bool{}
+		var delayedCalls atomic.Int64
+		delayed := map[string]bool{}
 		c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
-			if call != fleettest.CallHold || strikes[worker] {
+			if call != fleettest.CallHold || delayed[worker] {
 				return fleettest.Fault{}
 			}
-			strikes[worker] = true
-			struck.Add(1)
+			delayed[worker] = true
+			delayedCalls.Add(1)
 			time.AfterFunc(100*time.Millisecond, func() { c.fleet.StartAgain(worker, 50*time.Millisecond) })
 			return fleettest.Fault{Late: time.Second}
 		})
-		for struck.Load() < 2 {
+		for delayedCalls.Load() < 2 {
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(1500 * time.Millisecond) // the delayed call has been executed and has timed out
@@ -184,8 +184,8 @@
 			time.Sleep(600 * time.Millisecond)
 		}
 		slices.Sort(times)
-		if half := times[len(times)/2]; half > 500*time.Millisecond {
-			t.Errorf("median time from restart to first start is %v, want 500ms at most", half)
+		if median := times[len(times)/2]; median > 500*time.Millisecond {
+			t.Errorf("median time from restart to first start is %v, want 500ms at most", median)
 		}
 		t.Logf("time from restart to first start: median %v, maximum %v", times[len(times)/2], times[len(times)-1])
 	})
@@ -205,9 +205,9 @@
 func TestCrashingTaskOnRestartingWorkers(t *testing.T) {
 	for _, pause := range []time.Duration{50 * time.Millisecond, 400 * time.Millisecond, 3200 * time.Millisecond} {
 		for _, during := range []struct {
-			name string
-			do   func(*cell, *owner) *owner
-			most int
+			name       string
+			do         func(*cell, *owner) *owner
+			maxCrashes int
 		}{{"undisturbed", undisturbed, 3}, {"with owners killed", killOwnerAfterCrashes, 5}} {
 			t.Run(fmt.Sprintf("after %v, %s", pause, during.name), func(t *testing.T) {
 				inCell(t, 12, func(c *cell) {
@@ -221,7 +221,7 @@
 					o = during.do(c, o)
 					c.await(o, "culprit", workload.Failed, 30*time.Second)
 					time.Sleep(10 * time.Second)
-					c.assertCrashes("culprit.0.0.0", during.most)
+					c.assertCrashes("culprit.0.0.0", during.maxCrashes)
 				})
 			})
 		}
@@ -235,13 +235,13 @@
 		c.lease = shortLease
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
-		random := rand.New(rand.NewPCG(1, 3))
+		rng := rand.New(rand.NewPCG(1, 3))
 		jobs := 0
 		for tick := range 120 { // 12 s
 			if tick%33 == 20 {
 				for _, w := range c.liveWorkers() {
-					if random.IntN(3) == 0 {
-						c.fleet.StartAgain(w.ID, time.Duration(50+random.IntN(3000))*time.Millisecond)
+					if rng.IntN(3) == 0 {
+						c.fleet.StartAgain(w.ID, time.Duration(50+rng.IntN(3000))*time.Millisecond)
 					}
 				}
 			}
@@ -281,12 +281,12 @@
 			t.Errorf("%d starts while one worker of two has a wrong entry, want 8 at most", got)
 		}
 		time.Sleep(1100 * time.Millisecond)
-		if host := c.fleet.RunningOn("w-00"); host != 0 {
-			t.Errorf("%d attempts on the worker with a wrong entry, want 0", host)
+		if running := c.fleet.RunningOn("w-00"); running != 0 {
+			t.Errorf("%d attempts on the worker with a wrong entry, want 0", running)
 		}
 		c.fleet.SetEntry("w-00", nil)
 		time.Sleep(time.Second) // workers are listed every 500 ms
-		if host := c.fleet.RunningOn("w-00"); host == 0 {
+		if running := c.fleet.RunningOn("w-00"); running == 0 {
 			t.Error("no attempts on the worker after its entry was corrected")
 		}
 		c.await(o, "next", workload.Completed, 8*time.Second)
--- a/scheduler/lives_order_test.go
+++ b/scheduler/lives_order_test.go
@@ -15,11 +15,11 @@
 	"chutereach/workload"
 )
 
-// event is one thing that happens, after a job has been handed in.
+// event is a fault, or none, that follows the submission of a job.
 type event struct {
 	Kind  eventKind
-	Index int // of the workers, or of the shapes of jobs
-	Pause int // in milliseconds: how long something is away, and what passes before the next event
+	Index int // selects workers and the kind of job
+	Pause int // in milliseconds; sets the length of the fault and the time until the next event
 }
 
 type eventKind int
@@ -41,11 +41,9 @@
 	eventKindCount
 )
 
-// Workers that start again under their ids, one, a rack or half of them, also twice in a row, in
-// any order with owners that are killed or stand still, orders that are carried out late, answers
-// that are lost, cuts, a silent store and a time of day that steps back: the judge of the fleet
-// sees no task started again after an end done that was noted, none after the failures that it
-// may have, and none in two places; and every job ends as its tasks do.
+// Random sequences of worker restarts under the same ID, failed or stalled owners, delayed or lost
+// calls, store outages and clock steps. No task may run twice at a time, start after it is done or
+// exceed its attempts, and every job must end as its tasks do.
 func TestRandomRestartsAndFaults(t *testing.T) {
 	events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 		return event{
@@ -59,7 +57,7 @@
 		inCell(t, 12, func(c *cell) {
 			c.t.Cleanup(func() {
 				if c.t.Failed() {
-					c.t.Logf("the events: %#v", list)
+					c.t.Logf("events: %#v", list)
 				}
 			})
 			c.runEvents(list)
@@ -67,7 +65,7 @@
 	})
 }
 
-// runEvents hands in a job before each event, and awaits all of them after the last.
+// runEvents submits a job before each event, and awaits all jobs after the last.
 func (c *cell) runEvents(events []event) {
 	c.lease = shortLease
 	o := c.rule()
@@ -89,7 +87,8 @@
 	}
 }
 
-// jobFor returns one of a few shapes of jobs, how its tasks go, and how it ends.
+// jobFor returns a request that varies with number, the plan of its tasks, and the expected final
+// state.
 func jobFor(number int) (workload.Request, func(workload.TaskID, int) fleettest.Plan, workload.State) {
 	request := jobOf(1+number%4, resource.MilliCPU(1000+500*(number%7)))
 	request.Steps[0].Gang = number%5 == 0
@@ -102,8 +101,8 @@
 	return request, work(duration), workload.Completed
 }
 
-// awaitUnlessEnded is await for a job that may be given up if two workers have ended under one of
-// its tasks.
+// awaitUnlessEnded is like await, but also accepts a failed job if two or more workers have ended
+// under one of its tasks.
 func (c *cell) awaitUnlessEnded(o *owner, name string, want workload.State) {
 	c.t.Helper()
 	state := workload.State("")
@@ -113,17 +112,17 @@
 			return
 		}
 	}
-	c.t.Errorf("job %s is %q, want %q; %d workers have ended under its tasks", name, state, want, c.fleet.EndedUnder(name))
+	c.t.Errorf("job %s is %q, want %q; %d workers ended under one of its tasks", name, state, want, c.fleet.EndedUnder(name))
 }
 
-// applyEvent brings an event about, and returns who owns the shard after it.
+// applyEvent applies an event, and returns the owner of the shard after it.
 func (c *cell) applyEvent(o *owner, e event) *owner {
 	pause := time.Duration(e.Pause) * time.Millisecond
 	worker := func(number int) string { return fmt.Sprintf("w-%02d", number%12) }
 	switch e.Kind {
 	case restartWorker:
 		c.fleet.StartAgain(worker(e.Index), pause)
-	case restartRack: // two workers have a rack
+	case restartRack: // a rack has two workers
 		c.fleet.StartAgain(worker(e.Index&^1), pause)
 		c.fleet.StartAgain(worker(e.Index|1), pause/2)
 	case restartHalf:
@@ -162,9 +161,9 @@
 	return o
 }
 
-// everyThird has a fault strike each third call to a worker.
+// everyThird applies a fault to every third call to each worker.
 func (c *cell) everyThird(fault fleettest.Fault) {
-	calls := map[string]int{} // the fleet decides on one call at a time
+	calls := map[string]int{} // the fleet calls the function under its lock
 	c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
 		calls[worker]++
 		if calls[worker]%3 == 0 {
--- a/scheduler/lives_test.go
+++ b/scheduler/lives_test.go
@@ -11,8 +11,8 @@
 	"chutereach/workload"
 )
 
-// Discovery goes on naming a life for some seconds after another one has taken its
-// address, be it of the same service or of another.
+// Discovery lists a worker for some seconds after another worker, of the same or another service,
+// has taken over its address. The owner must stop calling the old worker.
 func TestAddressReusedByAnotherWorker(t *testing.T) {
 	for _, service := range []string{testService, "another"} {
 		t.Run("of service "+service, func(t *testing.T) {
@@ -35,8 +35,8 @@
 					Capacity: resource.Amount{CPU: 16_000, Memory: 64 * gigabyte},
 				})
 				c.await(o, "job", workload.Completed, 6*time.Second)
-				if got := calls.Load(); got > 4 { // one look, and orders under way
-					t.Errorf("%d calls to a life that was known to be over", got)
+				if got := calls.Load(); got > 4 { // one Hold call, and orders under way
+					t.Errorf("%d calls to a worker known to have ended, want 4 at most", got)
 				}
 			})
 		})
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -14,16 +14,15 @@
 	"chutereach/workload"
 )
 
-// While a share of the calls to workers has no answer, short jobs are still soon done
-// once that was noticed: half a second of work and three round trips take no second for
-// nine in ten.
+// Guards the latency of short jobs while some calls to workers get no answer: once the owner has
+// detected the loss, nine in ten jobs of 500 ms of work complete within a second.
 func TestShortJobLatencyDuringCallLoss(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault fleettest.Fault
 	}{
-		{"answers are lost", fleettest.Fault{Mute: true}},
-		{"orders are carried out late", fleettest.Fault{Late: 3 * time.Second}},
+		{"responses lost", fleettest.Fault{Mute: true}},
+		{"orders delayed", fleettest.Fault{Late: 3 * time.Second}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -31,9 +30,9 @@
 				c.lease = shortLease
 				o := c.rule()
 				time.Sleep(time.Second)
-				var lost callSampler
+				var sampler callSampler
 				c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
-					if lost.sample(worker) {
+					if sampler.sample(worker) {
 						return test.fault
 					}
 					return fleettest.Fault{}
@@ -41,24 +40,23 @@
 				c.measureJobs(o, "noticed", 40)
 				times := c.measureJobs(o, "short", 60)
 				slices.Sort(times)
-				if most := times[len(times)*9/10]; most > time.Second {
-					t.Errorf("nine in ten were done after %v", most)
+				if p90 := times[len(times)*9/10]; p90 > time.Second {
+					t.Errorf("90th percentile of job latency is %v, want 1s at most", p90)
 				}
 			})
 		})
 	}
 }
 
-// callSampler picks every twentieth call to each worker, the first one at a call of the
-// worker's own. A die thrown for each call in turn depends on which of the calls of one
-// moment comes first: one run in a hundred then had more than six of sixty jobs late.
+// callSampler selects every twentieth call to each worker, with a phase that depends on the worker.
+// Unlike a random draw per call it does not depend on the order of concurrent calls.
 type callSampler struct {
 	mu    sync.Mutex
 	calls map[string]int
 }
 
 func (e *callSampler) sample(worker string) bool {
-	const among = 20
+	const period = 20
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.calls == nil {
@@ -67,14 +65,14 @@
 	if _, known := e.calls[worker]; !known {
 		hash := fnv.New32a()
 		hash.Write([]byte(worker))
-		e.calls[worker] = int(hash.Sum32() % among)
+		e.calls[worker] = int(hash.Sum32() % period)
 	}
 	e.calls[worker]++
-	return e.calls[worker]%among == 0
+	return e.calls[worker]%period == 0
 }
 
-// measureJobs hands in jobs of half a second, one after the other, and returns how long each
-// took until it was shown as completed.
+// measureJobs submits jobs of 500 ms of work, one every 100 ms, and returns the latencies until they
+// were completed.
 func (c *cell) measureJobs(o *owner, name string, jobs int) []time.Duration {
 	c.t.Helper()
 	var (
@@ -101,7 +99,7 @@
 	return times
 }
 
-// A new owner does not call all its workers in the same moment.
+// Guards against a burst of calls when a new owner calls all its workers for the first time.
 func TestConcurrentFirstCallsAreLimited(t *testing.T) {
 	inCell(t, 0, func(c *cell) {
 		for i := range 100 {
@@ -119,16 +117,16 @@
 			return fleettest.Fault{}
 		})
 		c.rule()
-		time.Sleep(3 * time.Millisecond) // calls take one each
+		time.Sleep(3 * time.Millisecond) // a call takes 1 ms
 		mu.Lock()
 		defer mu.Unlock()
 		for at, count := range calls {
-			if count > 64 { // 32 first ones, and as many second ones
-				t.Errorf("%d calls at %v", count, at)
+			if count > 64 { // 32 first calls and as many second ones
+				t.Errorf("%d calls at %v, want 64 at most", count, at)
 			}
 		}
 		if len(calls) < 3 {
-			t.Errorf("calls at %d moments", len(calls))
+			t.Errorf("calls at %d points in time, want 3 or more", len(calls))
 		}
 	})
 }
--- a/scheduler/relist_test.go
+++ b/scheduler/relist_test.go
@@ -8,9 +8,8 @@
 	"chutereach/workload"
 )
 
-// Entries of workers lapse while the store is down. They are trusted for the two
-// seconds after its return, if the workers answer, and those that are still missing
-// then get nothing more.
+// Discovery entries expire while the store is down. For two seconds after the outage, workers that
+// answer stay in use without an entry; after that they get no starts.
 func TestExpiredDiscoveryEntries(t *testing.T) {
 	outage := func(c *cell, o *owner) {
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
@@ -20,7 +19,7 @@
 		o.caller.SetFault(nil)
 		time.Sleep(200 * time.Millisecond)
 	}
-	t.Run("get work at once", func(t *testing.T) {
+	t.Run("usable right after an outage", func(t *testing.T) {
 		inCell(t, 2, func(c *cell) {
 			o := c.rule()
 			time.Sleep(time.Second)
@@ -31,7 +30,7 @@
 			c.await(o, "job", workload.Completed, time.Second)
 		})
 	})
-	t.Run("are gone if they stay missing", func(t *testing.T) {
+	t.Run("unusable if not listed again", func(t *testing.T) {
 		inCell(t, 2, func(c *cell) {
 			o := c.rule()
 			time.Sleep(time.Second)
@@ -42,13 +41,13 @@
 			}
 			time.Sleep(2 * time.Second)
 			if got := c.fleet.Starts(); got != 0 {
-				t.Errorf("%d starts on workers that are gone", got)
+				t.Errorf("%d starts on workers that were not listed again, want 0", got)
 			}
 			c.fleet.Unlist(false)
 			c.await(o, "job", workload.Completed, 3*time.Second)
 		})
 	})
-	t.Run("without an outage get nothing", func(t *testing.T) {
+	t.Run("unusable without an outage", func(t *testing.T) {
 		inCell(t, 2, func(c *cell) {
 			o := c.rule()
 			time.Sleep(time.Second)
@@ -59,7 +58,7 @@
 			}
 			time.Sleep(2 * time.Second)
 			if got := c.fleet.Starts(); got != 0 {
-				t.Errorf("%d starts on workers that have left", got)
+				t.Errorf("%d starts on workers without an entry, want 0", got)
 			}
 			c.fleet.Unlist(false)
 			c.await(o, "job", workload.Completed, 3*time.Second)
--- a/scheduler/same_id_test.go
+++ b/scheduler/same_id_test.go
@@ -10,34 +10,24 @@
 	"chutereach/workload"
 )
 
-// What happened: workers ended and started again under the ids that they had. Tasks that they
-// were given then were done there, and were started again elsewhere all the same; tasks that
-// failed there had more attempts than allowed.
-//
-// Why: a worker numbers its ends anew from 1 in each life. The owner kept the number of the last
-// end that it had taken in by the worker's id alone, and sent it with each call as word of what
-// may be forgotten. So the next life forgot its own ends unread, and the owner took their attempts
-// for lost.
-//
-// What settled it: of 181 attempts over as "not in the worker's report" in two recorded days each
-// was on a worker that had started again under its id before (105 of 105, and 76 of 76). One was
-// done at 6.703 s, and the owner wrote "lapsed", "ran": 494.8, at 6.799 s.
+// Guards against repeated tasks: a worker that restarts under the same ID numbers its ends from 1
+// again, so an acknowledgement from before the restart must not make it discard unread ends.
 func TestWorkerRestartsUnderSameID(t *testing.T) {
 	cases := []struct {
-		name   string
-		plan   fleettest.Plan
-		want   workload.State
-		untold bool // the workers do not say when they were born
+		name         string
+		plan         fleettest.Plan
+		want         workload.State
+		noBirthTimes bool // workers do not report their start time
 	}{
-		{"and its tasks are done", fleettest.Plan{Work: 300 * time.Millisecond}, workload.Completed, false},
-		{"and its tasks fail", fleettest.Plan{Work: 300 * time.Millisecond, Outcome: fleet.Failed}, workload.Failed, false},
-		{"and does not say so", fleettest.Plan{Work: 300 * time.Millisecond}, workload.Completed, true},
+		{"tasks succeed", fleettest.Plan{Work: 300 * time.Millisecond}, workload.Completed, false},
+		{"tasks fail", fleettest.Plan{Work: 300 * time.Millisecond, Outcome: fleet.Failed}, workload.Failed, false},
+		{"start times are not reported", fleettest.Plan{Work: 300 * time.Millisecond}, workload.Completed, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			inCell(t, 3, func(c *cell) {
 				c.lease = shortLease
-				if test.untold {
+				if test.noBirthTimes {
 					c.hideBirthTimes()
 				}
 				o := c.rule()
@@ -59,7 +49,7 @@
 	}
 }
 
-// runShortTasks has a number of tasks done on all workers, so that their ends are numbered on.
+// runShortTasks completes a job of short tasks, so that the workers' sequence numbers of ends rise.
 func (c *cell) runShortTasks(o *owner, id string, tasks int) {
 	c.t.Helper()
 	if err := c.submit(o, id, jobOf(tasks, 1000), work(100*time.Millisecond)); err != nil {
@@ -68,7 +58,7 @@
 	c.await(o, id, workload.Completed, 10*time.Second)
 }
 
-// hideBirthTimes has no worker say when it was born: only its clock tells a later life apart.
+// hideBirthTimes makes workers omit their start time, so that only the clock shows a restart.
 func (c *cell) hideBirthTimes() {
 	for _, w := range c.fleet.List() {
 		w.Born = 0
@@ -76,7 +66,7 @@
 	}
 }
 
-// restartAllWorkers has every worker end and start again under its id after a pause.
+// restartAllWorkers ends every worker and restarts it under its ID after a pause.
 func (c *cell) restartAllWorkers(pause time.Duration) {
 	for _, w := range c.fleet.List() {
 		c.fleet.StartAgain(w.ID, pause)
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -8,8 +8,9 @@
 	"chutereach/rowstore/memory"
 )
 
-// An owner whose machine was suspended extends leases no longer after the store's last word
-// than one whose was not: a successor counts from there when they have run out.
+// Guards against overlapping owners: time in which the owner's machine is suspended counts towards
+// the limit for extending leases without confirmation by the store, since a successor computes their
+// expiry from that limit.
 func TestSuspendedOwnerDoesNotExtendLeases(t *testing.T) {
 	const confirmedFor = 5 * time.Second
 	cases := []struct{ suspended, extends time.Duration }{
@@ -27,10 +28,10 @@
 				time.Sleep(2 * time.Second)
 				o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 				machine.Suspend(test.suspended)
-				woken := time.Now()
+				resumed := time.Now()
 				time.Sleep(8 * time.Second)
-				if got := o.client.lastExtended().Sub(woken); got > test.extends {
-					t.Errorf("the last lease is extended %v after the machine was resumed, want %v at most", got, test.extends)
+				if got := o.client.lastExtended().Sub(resumed); got > test.extends {
+					t.Errorf("last lease extension %v after the machine resumed, want %v at most", got, test.extends)
 				}
 			})
 		})
