--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -16,9 +16,9 @@
 
 func TestCompletesJobs(t *testing.T) {
 	chain := jobOf(4, 1000)
-	second := step(3, 2000)
+	second := newStep(3, 2000)
 	second.After = []int{0}
-	third := step(2, 500)
+	third := newStep(2, 500)
 	third.After = []int{0, 1}
 	chain.Steps = append(chain.Steps, second, third)
 
@@ -34,7 +34,7 @@
 	oneRack := jobOf(4, 4000)
 	oneRack.Steps[0].SameRack = true
 
-	wide := jobOf(60, 4000) // more than there is room for at once
+	wide := jobOf(60, 4000) // exceeds the capacity of the fleet
 
 	cases := []struct {
 		name    string
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestTicketsAreAskedAheadAndShown(t *testing.T) {
+func TestTicketsAreRequestedInAdvance(t *testing.T) {
 	inCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 		o := c.rule()
@@ -73,19 +73,19 @@
 	})
 }
 
-func TestAnAcceptedJobIsInTheStore(t *testing.T) {
+func TestAcceptedJobIsStored(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		if err := c.submit(o, "job", jobOf(1, 1000), work(time.Minute)); err != nil {
 			t.Fatal(err)
 		}
 		if _, ok := c.store.Row(rowstore.Key{Table: "jobs", Partition: testShard, Name: "job"}); !ok {
-			t.Error("the job was accepted and is not in the store")
+			t.Error("accepted job has no row in the store")
 		}
 	})
 }
 
-func TestTheSameIDIsOneJob(t *testing.T) {
+func TestSubmitIsIdempotent(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		for range 3 {
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestFailures(t *testing.T) {
+func TestAttemptLimit(t *testing.T) {
 	fails := func(upTo int) func(workload.TaskID, int) fleettest.Plan {
 		return func(_ workload.TaskID, attempt int) fleettest.Plan {
 			if attempt <= upTo {
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestCancelStopsWhatRuns(t *testing.T) {
+func TestCancelStopsRunningAttempts(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		o := c.rule()
 		if err := c.submit(o, "job", jobOf(10, 4000), work(time.Minute)); err != nil {
@@ -152,16 +152,16 @@
 		c.await(o, "job", workload.Cancelled, time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
 		if running := c.fleet.Running(); running != 0 {
-			t.Errorf("%d attempts still run", running)
+			t.Errorf("%d attempts still running after the cancellation, want 0", running)
 		}
 		var notJob *scheduler.NotJobError
 		if err := o.Cancel(c.ctx, "other"); !errors.As(err, &notJob) {
-			t.Errorf("cancelling an unknown job: %v", err)
+			t.Errorf("Cancel of an unknown job: got %v, want NotJobError", err)
 		}
 	})
 }
 
-func TestACheckpointIsCarriedOn(t *testing.T) {
+func TestTaskResumesFromCheckpoint(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		request := jobOf(1, 1000)
 		request.Steps[0].Checkpoints = true
@@ -171,16 +171,15 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, w := range c.fleet.List() {
-			c.fleet.Crash(w.ID) // the one that runs it, and the other
+			c.fleet.Crash(w.ID)
 		}
-		c.fleet.Add(fleet.Worker{Life: fleet.Life{ID: "w-9"}, Service: testService, Capacity: o.capacity()})
-		// The lease of the dead worker must run out first; then some three seconds
-		// of work are left.
+		c.fleet.Add(fleet.Worker{Life: fleet.Life{ID: "w-9"}, Service: testService, Capacity: o.workerCapacity()})
+		// The lease of the crashed worker expires first; then about 3 s of work remain.
 		c.await(o, "job", workload.Completed, 13*time.Second)
 	})
 }
 
-func TestPendingCountsJobsThatHaveNotBegun(t *testing.T) {
+func TestPendingCountsUnstartedJobs(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		for _, id := range []string{"a", "b", "c"} {
@@ -193,12 +192,12 @@
 			t.Errorf("%d pending, want 2", got)
 		}
 		if got := o.Pending("others"); got != 0 {
-			t.Errorf("%d pending of another queue, want 0", got)
+			t.Errorf("%d pending in another queue, want 0", got)
 		}
 	})
 }
 
-func TestRoundsBeginWhenTheyAreDue(t *testing.T) {
+func TestRoundsStartOnSchedule(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		request := jobOf(2, 1000)
 		request.Rounds, request.Interval = 3, 2*time.Second
@@ -222,7 +221,7 @@
 	})
 }
 
-func TestALastingStepIsStartedAgain(t *testing.T) {
+func TestLastingStepIsRestarted(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		request := jobOf(1, 1000)
 		request.Steps[0].Lasting = true
@@ -242,7 +241,7 @@
 	})
 }
 
-func TestADrainingWorkerGetsNothingNew(t *testing.T) {
+func TestDrainingWorkerGetsNoStarts(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
 		o := c.rule()
 		c.fleet.SetDraining("w-00")
@@ -252,7 +251,7 @@
 		}
 		c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
 			if call == fleettest.CallStart && worker == "w-00" {
-				t.Error("a draining worker was told to start something")
+				t.Error("start sent to a draining worker")
 			}
 			return fleettest.Fault{}
 		})
@@ -260,7 +259,7 @@
 	})
 }
 
-func TestRefusesWhileTheStoreIsDown(t *testing.T) {
+func TestSubmitIsRefusedDuringStoreOutage(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
@@ -270,20 +269,20 @@
 		err := c.submit(o, "job", jobOf(1, 1000), work(time.Second))
 		var overloaded *scheduler.OverloadedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
-			t.Errorf("got %v, want to be told when to come back", err)
+			t.Errorf("got %v, want OverloadedError with RetryAfter", err)
 		}
 		if took := time.Since(begun); took > 10*time.Millisecond {
-			t.Errorf("refused after %v, want at once", took)
+			t.Errorf("refused after %v, want 10ms at most", took)
 		}
 		o.caller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
-			t.Errorf("a refused job was started %d times", got)
+			t.Errorf("refused job has %d starts, want 0", got)
 		}
 	})
 }
 
-func TestUnconfirmedIsNotRefused(t *testing.T) {
+func TestSubmitTimeoutIsUnconfirmed(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
@@ -299,7 +298,7 @@
 	})
 }
 
-func TestFinalJobsAreForgottenAfterTheirTime(t *testing.T) {
+func TestFinalJobsExpire(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		if err := c.submit(o, "job", jobOf(1, 1000), work(time.Second)); err != nil {
@@ -311,16 +310,16 @@
 		time.Sleep(time.Minute)
 		var notJob *scheduler.NotJobError
 		if _, err := o.State(c.ctx, "job"); !errors.As(err, &notJob) {
-			t.Errorf("after its time: %v", err)
+			t.Errorf("State after the retention time: got %v, want NotJobError", err)
 		}
 		if _, ok := c.store.Row(rowstore.Key{Table: "progress", Partition: testShard, Name: "job"}); ok {
-			t.Error("its row is still in the store")
+			t.Error("progress row of the expired job is still in the store")
 		}
 	})
 }
 
-// Lanes may be told anew while they are being asked; the race detector judges.
-func TestLanesAreToldAnewWhileAsked(t *testing.T) {
+// Guards against data races between SetLanes and calls for advice.
+func TestSetLanesDuringAdviceCalls(t *testing.T) {
 	inCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 		o := c.rule()
