--- a/scheduler/cancel_late_test.go
+++ b/scheduler/cancel_late_test.go
@@ -7,20 +7,20 @@
 	"chutereach/fleet/fleettest"
 )
 
-// Nothing runs of a job that was cancelled, also where a worker carries its start out late,
-// and where the owner that sent it is gone for good.
-func TestNothingRunsOfACancelledJob(t *testing.T) {
-	const late = 1400 * time.Millisecond // a start is void 1.5 s after it was sent
+// No attempt of a cancelled job keeps running, even if a worker executes the start late or the
+// owner that sent it has been replaced.
+func TestCancelledJobDoesNotRun(t *testing.T) {
+	const startDelay = 1400 * time.Millisecond // below the 1.5 s after which a start is void
 	cases := []struct {
-		name   string
-		faults func(worker string) fleettest.Fault // of calls while the start is on its way
-		then   func(c *cell, o *owner) *owner
+		name       string
+		faults     func(worker string) fleettest.Fault // injected into calls other than starts
+		afterStart func(c *cell, o *owner) *owner
 	}{
-		{"its start is carried out late", func(string) fleettest.Fault { return fleettest.Fault{} }, undisturbed},
-		{"its owner is removed", func(string) fleettest.Fault { return fleettest.Fault{} }, replaced},
-		{"its owner is removed, and the next one does not reach the worker", func(string) fleettest.Fault {
+		{"start executed late", func(string) fleettest.Fault { return fleettest.Fault{} }, undisturbed},
+		{"owner replaced", func(string) fleettest.Fault { return fleettest.Fault{} }, replaceOwner},
+		{"owner replaced, successor cannot reach the worker", func(string) fleettest.Fault {
 			return fleettest.Fault{Lost: true}
-		}, replaced},
+		}, replaceOwner},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -30,15 +30,15 @@
 				time.Sleep(500 * time.Millisecond)
 				c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
 					if call == fleettest.CallStart {
-						return fleettest.Fault{Late: late}
+						return fleettest.Fault{Late: startDelay}
 					}
 					return test.faults(worker)
 				})
 				if err := c.submit(o, "job", jobOf(4, 2000), work(time.Hour)); err != nil {
 					t.Fatal(err)
 				}
-				time.Sleep(100 * time.Millisecond) // the starts are on their way
-				o = test.then(c, o)
+				time.Sleep(100 * time.Millisecond) // the starts are in flight
+				o = test.afterStart(c, o)
 				if err := o.Cancel(c.ctx, "job"); err != nil {
 					t.Fatal(err)
 				}
@@ -46,15 +46,15 @@
 				c.fleet.SetFault(nil)
 				time.Sleep(3 * time.Second)
 				if got := c.fleet.Running(); got != 0 {
-					t.Errorf("%d attempts run", got)
+					t.Errorf("%d attempts of the cancelled job are running, want 0", got)
 				}
 			})
 		})
 	}
 }
 
-// replaced ends an owner for good and has another one rule.
-func replaced(c *cell, o *owner) *owner {
+// replaceOwner kills an owner and starts its successor.
+func replaceOwner(c *cell, o *owner) *owner {
 	o.kill()
 	return c.rule()
 }
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -8,29 +8,29 @@
 	"chutereach/workload"
 )
 
-// While it is in doubt whether one member of a gang has begun, the others are recalled: the
-// gang can't come together any more, and they would wait for nothing with their room taken.
-func TestAGangIsRecalledWhileOneMemberIsInDoubt(t *testing.T) {
+// If it is unknown whether one member of a gang has started, the other members are stopped.
+// Otherwise they would hold capacity while waiting for a gang that cannot become complete.
+func TestGangStoppedWhileMemberStartUnknown(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault fleettest.Fault // of each call to the member's worker
+		fault fleettest.Fault // injected into each call to the member's worker
 	}{
-		{"its worker is silent", fleettest.Fault{Lost: true}},
-		{"its worker carries orders out and does not answer", fleettest.Fault{Mute: true}},
-		{"its worker carries orders out late", fleettest.Fault{Late: 2500 * time.Millisecond}},
+		{"its worker does not receive calls", fleettest.Fault{Lost: true}},
+		{"its worker executes calls without answering", fleettest.Fault{Mute: true}},
+		{"its worker executes calls late", fleettest.Fault{Late: 2500 * time.Millisecond}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			inCell(t, 8, func(c *cell) {
 				o := c.rule()
 				time.Sleep(time.Second)
-				var from time.Time
-				silent := ""
+				var faultySince time.Time
+				faulty := ""
 				c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
-					if call == fleettest.CallStart && silent == "" {
-						silent, from = worker, time.Now()
+					if call == fleettest.CallStart && faulty == "" {
+						faulty, faultySince = worker, time.Now()
 					}
-					if worker == silent && time.Since(from) < 4*time.Second {
+					if worker == faulty && time.Since(faultySince) < 4*time.Second {
 						return test.fault
 					}
 					return fleettest.Fault{}
@@ -40,7 +40,7 @@
 				}
 				c.await(o, "gang", workload.Completed, 14*time.Second)
 				if got := c.fleet.Alone(); got != 0 {
-					t.Errorf("%d members waited for the others in vain", got)
+					t.Errorf("%d gang members timed out waiting for the others, want 0", got)
 				}
 			})
 		})
--- a/scheduler/leave_test.go
+++ b/scheduler/leave_test.go
@@ -8,19 +8,18 @@
 	"chutereach/workload"
 )
 
-// Workers that leave serve on for many seconds, whether they have said so or only their
-// entry has gone. What runs there goes on; nothing new begins; when they end at last, what
-// they still ran begins elsewhere.
-func TestWorkersThatLeave(t *testing.T) {
-	ways := []struct {
+// A worker that is draining or no longer listed keeps its running tasks and gets no new ones.
+// Once its process ends, the remaining tasks restart on other workers.
+func TestDepartingWorkers(t *testing.T) {
+	cases := []struct {
 		name  string
 		leave func(*fleettest.Fleet, string)
 	}{
-		{"that drain", func(f *fleettest.Fleet, id string) { f.SetDraining(id) }},
-		{"that never say so", func(f *fleettest.Fleet, id string) { f.Drop(id) }},
+		{"draining", func(f *fleettest.Fleet, id string) { f.SetDraining(id) }},
+		{"removed from discovery", func(f *fleettest.Fleet, id string) { f.Drop(id) }},
 	}
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			inCell(t, 2, func(c *cell) {
 				c.lease = shortLease
 				o := c.rule()
@@ -35,7 +34,7 @@
 				}
 				c.awaitStarts(2, time.Second)
 				host := c.fleet.HostOf("lasting.0.0.0")
-				way.leave(c.fleet, host)
+				test.leave(c.fleet, host)
 				time.Sleep(time.Second)
 				for _, id := range []string{"a0", "a1", "a2", "a3"} {
 					if err := c.submit(o, id, jobOf(1, 2000), work(2*time.Second)); err != nil {
@@ -43,12 +42,12 @@
 					}
 					time.Sleep(100 * time.Millisecond)
 					if got := c.fleet.HostOf(id + ".0.0.0"); got == host {
-						t.Errorf("job %s began on the worker that leaves", id)
+						t.Errorf("job %s started on departing worker %s", id, host)
 					}
 				}
 				c.await(o, "running", workload.Completed, 10*time.Second)
 				if c.fleet.HostOf("lasting.0.0.0") != host || c.fleet.Starts() != 6 {
-					t.Errorf("%d starts; what ran there did not go on", c.fleet.Starts())
+					t.Errorf("%d attempts started, want 6; long-running task on worker %q, want %q", c.fleet.Starts(), c.fleet.HostOf("lasting.0.0.0"), host)
 				}
 				c.fleet.Crash(host)
 				c.awaitStarts(7, 5*time.Second)
--- a/scheduler/owed_test.go
+++ b/scheduler/owed_test.go
@@ -9,16 +9,15 @@
 	"chutereach/workload"
 )
 
-// What an account is owed goes to its own most urgent work: a job that came on top of it, and
-// must begin sooner than one that did not, is not put behind that one. Otherwise a gang is
-// starved by its own account's small jobs.
-func TestWhatIsOwedGoesToTheMostUrgentWork(t *testing.T) {
+// An account's fair share goes to its most urgent jobs, regardless of which of them arrived
+// beyond the share. Otherwise an account's small jobs could starve its gang.
+func TestSortByUrgencyWithinAccount(t *testing.T) {
 	busy, other := &accountState{}, &accountState{}
 	now := time.Unix(1000, 0)
-	claims := workload.Record{Queue: workload.Queue{Priority: 1}}
-	of := func(id string, a *accountState, latest int, beyond bool) candidate {
+	record := workload.Record{Queue: workload.Queue{Priority: 1}}
+	newCandidate := func(id string, a *accountState, latest int, beyond bool) candidate {
 		return candidate{
-			step:    &step{job: &job{id: id, account: a, beyond: beyond, record: claims}},
+			step:    &step{job: &job{id: id, account: a, beyond: beyond, record: record}},
 			urgency: urgency.Verdict{Rank: urgency.InTime, Latest: now.Add(time.Duration(latest) * time.Second), Beyond: beyond},
 		}
 	}
@@ -27,17 +26,22 @@
 		list []candidate
 		want []string
 	}{
-		{"an account's own work goes by its urgency", []candidate{
-			of("small", busy, 50, false), of("gang", busy, 2, true), of("small-2", busy, 51, true),
+		{"jobs of one account are ordered by urgency", []candidate{
+			newCandidate("small", busy, 50, false),
+			newCandidate("gang", busy, 2, true),
+			newCandidate("small-2", busy, 51, true),
 		}, []string{"gang", "small", "small-2"}},
-		{"others go before what comes on top", []candidate{
-			of("small", busy, 50, false), of("gang", busy, 2, true), of("small-2", busy, 20, true), of("theirs", other, 30, false),
+		{"other accounts precede jobs beyond the share", []candidate{
+			newCandidate("small", busy, 50, false),
+			newCandidate("gang", busy, 2, true),
+			newCandidate("small-2", busy, 20, true),
+			newCandidate("theirs", other, 30, false),
 		}, []string{"gang", "theirs", "small-2", "small"}},
-		{"all of it comes on top", []candidate{
-			of("gang", busy, 2, true), of("small", busy, 5, true), of("theirs", other, 30, false),
+		{"all jobs of an account are beyond its share", []candidate{
+			newCandidate("gang", busy, 2, true), newCandidate("small", busy, 5, true), newCandidate("theirs", other, 30, false),
 		}, []string{"theirs", "gang", "small"}},
-		{"none does", []candidate{
-			of("a", busy, 5, false), of("b", other, 4, false), of("c", busy, 3, false),
+		{"no job is beyond its account's share", []candidate{
+			newCandidate("a", busy, 5, false), newCandidate("b", other, 4, false), newCandidate("c", busy, 3, false),
 		}, []string{"c", "b", "a"}},
 	}
 	for _, test := range cases {
--- a/scheduler/progress_internal_test.go
+++ b/scheduler/progress_internal_test.go
@@ -9,8 +9,8 @@
 	"chutereach/workload"
 )
 
-// A row tells the address of each worker once for a step, however many of its tasks are there.
-func TestAnAddressIsWrittenOnce(t *testing.T) {
+// A progress row lists the address of a worker once per step, even if several tasks run on it.
+func TestProgressListsWorkerAddressOnce(t *testing.T) {
 	record := workload.Record{Request: workload.Request{Steps: []workload.Step{{Count: 6}}}}
 	j := newJob("j", record, newAccountState(account.Terms{}), time.Now())
 	hosts := []*worker{
@@ -21,13 +21,13 @@
 		task.attempt = 1
 		hosts[i%len(hosts)].host(task, taskGranted)
 	}
-	told := map[string]int{}
+	addressCount := map[string]int{}
 	for _, task := range j.progress().Steps[0].Tasks {
 		if task.Address != "" {
-			told[task.Worker+" "+task.Address]++
+			addressCount[task.Worker+" "+task.Address]++
 		}
 	}
-	if len(told) != 2 || told["a 10.0.0.1:80"] != 1 || told["b 10.0.0.2:80"] != 1 {
-		t.Errorf("addresses: %v", told)
+	if len(addressCount) != 2 || addressCount["a 10.0.0.1:80"] != 1 || addressCount["b 10.0.0.2:80"] != 1 {
+		t.Errorf("addresses by worker: %v, want each of two workers once", addressCount)
 	}
 }
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-func TestTransactionsFollowTheStoresRate(t *testing.T) {
+// The gap between transactions widens as the store's write rate drops.
+func TestCommitGap(t *testing.T) {
 	for _, c := range []struct {
 		writes float64
 		gap    time.Duration
@@ -17,7 +18,7 @@
 		{1, 2 * time.Second},
 	} {
 		if got := commitGapFor(c.writes); got != c.gap {
-			t.Errorf("at %v transactions a second: a gap of %v, want %v", c.writes, got, c.gap)
+			t.Errorf("commit gap at %v transactions per second is %v, want %v", c.writes, got, c.gap)
 		}
 	}
 }
--- a/scheduler/times_test.go
+++ b/scheduler/times_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What is known of workers decides for how long room is kept for those that others gave way to.
-func TestTimesOfWorkers(t *testing.T) {
+// Preemption delays follow the configured worker times, or the defaults if none are set.
+func TestWorkerTimes(t *testing.T) {
 	const ms = time.Millisecond
 	cases := []struct {
 		name                       string
@@ -14,15 +14,15 @@
 		stopped, reserved, resumed time.Duration
 		remoteFactor               float64
 	}{
-		{"not told", Config{}, 500 * ms, 900 * ms, 2500 * ms, 1.5},
-		{"as most are", Config{Workers: WorkerTimes{400 * ms, 250 * ms}, RemoteFactor: 1.5}, 500 * ms, 900 * ms, 2500 * ms, 1.5},
+		{"unset", Config{}, 500 * ms, 900 * ms, 2500 * ms, 1.5},
+		{"typical", Config{Workers: WorkerTimes{400 * ms, 250 * ms}, RemoteFactor: 1.5}, 500 * ms, 900 * ms, 2500 * ms, 1.5},
 		{"slow stops", Config{Workers: WorkerTimes{900 * ms, 250 * ms}, RemoteFactor: 3}, 1000 * ms, 1400 * ms, 3000 * ms, 3},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			w := test.config.workerTimes()
 			if w.stopped() != test.stopped || w.reserved() != test.reserved || w.resumed() != test.resumed {
-				t.Errorf("stopped %v, reserved %v, resumed %v; want %v, %v, %v",
+				t.Errorf("stopped %v, reserved %v, resumed %v, want %v, %v, %v",
 					w.stopped(), w.reserved(), w.resumed(), test.stopped, test.reserved, test.resumed)
 			}
 			if got := test.config.remoteFactor(); got != test.remoteFactor {
