--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -15,12 +15,11 @@
 	"chutereach/workload"
 )
 
-// BenchmarkLook measures one look at what could be placed, while nothing has
-// room: 350 workers that are full, and jobs that wait with tickets.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkDispatch measures one dispatch pass over waiting jobs with tickets on 350 full workers.
+func BenchmarkDispatch(b *testing.B) {
 	for _, jobs := range []int{100, 1500} {
 		b.Run(fmt.Sprintf("%d jobs", jobs), func(b *testing.B) {
-			s, now := waitingCell(b, jobs)
+			s, now := newBacklogScheduler(b, jobs)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.mu.Lock()
@@ -31,13 +30,12 @@
 	}
 }
 
-// BenchmarkLookAfterEnds measures the same when room has grown on every worker since
-// the last look, though not enough for any task: each step is tried again, and those
-// in time seek tasks that give way.
-func BenchmarkLookAfterEnds(b *testing.B) {
+// BenchmarkDispatchAfterFree measures a pass after some capacity was freed on every worker, but
+// not enough for any task: each step is tried again and may look for tasks to preempt.
+func BenchmarkDispatchAfterFree(b *testing.B) {
 	for _, jobs := range []int{100, 500} {
 		b.Run(fmt.Sprintf("%d jobs", jobs), func(b *testing.B) {
-			s, now := waitingCell(b, jobs)
+			s, now := newBacklogScheduler(b, jobs)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.mu.Lock()
@@ -55,11 +53,11 @@
 func newBenchScheduler(tb testing.TB) *Scheduler {
 	tb.Helper()
 	store := memory.New()
-	seen, err := leadership.Look(tb.Context(), store, "main")
+	sighting, err := leadership.Look(tb.Context(), store, "main")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	term, err := leadership.Take(tb.Context(), store, "main", "n", "a", seen)
+	term, err := leadership.Take(tb.Context(), store, "main", "n", "a", sighting)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -68,16 +66,17 @@
 	return s
 }
 
-func waitingCell(b *testing.B, jobs int) (*Scheduler, time.Time) {
+// newBacklogScheduler returns a scheduler with 350 full workers and a number of waiting jobs.
+func newBacklogScheduler(b *testing.B, jobs int) (*Scheduler, time.Time) {
 	s := newBenchScheduler(b)
 	now := time.Now()
 	advice := fleet.Advice{Tickets: map[string]string{}, Valid: time.Hour}
-	var named []*worker
+	var workers []*worker
 	for i := range 350 {
 		w := newWorker(fleet.Worker{Life: fleet.Life{ID: fmt.Sprintf("w-%03d", i)}, Service: "s", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30}})
 		w.known, w.contact, w.used = true, now.Add(time.Hour), resource.Amount{CPU: 15_500}
 		s.workers[w.info.Life] = w
-		named = append(named, w)
+		workers = append(workers, w)
 		if i%3 != 0 {
 			advice.Tickets[w.info.ID] = "ticket"
 		}
@@ -86,7 +85,7 @@
 	for i := range jobs {
 		steps := []workload.Step{{Count: 3, Need: resource.Amount{CPU: 2500}, Estimate: time.Second}}
 		j := newJob(fmt.Sprintf("%016x", i), workload.Record{Request: workload.Request{Steps: steps}, Queue: queue, Accepted: now.UnixMilli()}, newAccountState(account.Terms{}), now)
-		j.rounds[0].steps[0].advice.take(named, advice, now)
+		j.rounds[0].steps[0].advice.take(workers, advice, now)
 		s.jobs[j.id], s.active[j.id] = j, j
 	}
 	return s, now
--- a/scheduler/bundle_test.go
+++ b/scheduler/bundle_test.go
@@ -10,8 +10,8 @@
 	"chutereach/workload"
 )
 
-// bundles returns how many bundles are in the store.
-func (c *cell) bundles() int {
+// bundleCount returns how many bundles are in the store.
+func (c *cell) bundleCount() int {
 	all, err := rowstore.ReadAll(c.ctx, c.store, "bundles", testShard)
 	if err != nil {
 		c.t.Fatal(err)
@@ -19,34 +19,34 @@
 	return len(all.Rows)
 }
 
-// More changes than a transaction holds one by one, while the store is slow, go
-// into bundles; a successor reads them, and they are gone once there was time.
-func TestManyChangesAtASlowStore(t *testing.T) {
+// While the store is slow, changes beyond the capacity of one transaction are written as bundles.
+// A successor loads them, and they are removed once the backlog is cleared.
+func TestBundlesWithSlowStore(t *testing.T) {
 	const jobs = 300
 	cases := []struct {
-		name    string
-		succeed bool
-	}{{"one owner", false}, {"the owner dies meanwhile", true}}
+		name     string
+		failover bool
+	}{{"one owner", false}, {"owner killed", true}}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			inCell(t, 40, func(c *cell) {
 				o := c.rule()
 				slow := func(bool) memory.Fault { return memory.Fault{Slow: 400 * time.Millisecond} }
 				o.caller.SetFault(slow)
-				taken := make(chan string, jobs)
+				accepted := make(chan string, jobs)
 				for i := range jobs {
 					id := fmt.Sprintf("job-%03d", i)
 					go func() {
 						if c.submit(o, id, jobOf(2, 1000), work(300*time.Millisecond)) == nil {
-							taken <- id
+							accepted <- id
 						}
 					}()
 				}
 				time.Sleep(1500 * time.Millisecond)
-				if c.bundles() == 0 {
-					t.Error("nothing was bundled")
+				if c.bundleCount() == 0 {
+					t.Error("no bundles in the store, want at least one")
 				}
-				if test.succeed {
+				if test.failover {
 					o.kill()
 					o = c.rule()
 				} else {
@@ -54,27 +54,27 @@
 					o.caller.SetFault(nil)
 				}
 				time.Sleep(4 * time.Second)
-				close(taken)
+				close(accepted)
 				count := 0
-				for id := range taken {
+				for id := range accepted {
 					count++
 					c.await(o, id, workload.Completed, 30*time.Second)
 				}
 				if count < jobs/2 {
-					t.Errorf("only %d of %d jobs were taken", count, jobs)
+					t.Errorf("%d of %d jobs accepted, want at least half", count, jobs)
 				}
 				time.Sleep(10 * time.Second)
-				if left := c.bundles(); left != 0 {
-					t.Errorf("%d bundles are left", left)
+				if left := c.bundleCount(); left != 0 {
+					t.Errorf("%d bundles left in the store, want 0", left)
 				}
 			})
 		})
 	}
 }
 
-// Bundles are dissolved although jobs keep coming: a successor would have to read
-// them all.
-func TestBundlesGoWhileJobsKeepComing(t *testing.T) {
+// Bundles are removed even while new jobs arrive. Otherwise a successor would have to load an
+// unbounded number of them.
+func TestBundlesRemovedUnderLoad(t *testing.T) {
 	const jobs = 300
 	inCell(t, 60, func(c *cell) {
 		o := c.rule()
@@ -86,16 +86,16 @@
 			submit(fmt.Sprintf("early-%03d", i))
 		}
 		time.Sleep(2 * time.Second)
-		if c.bundles() == 0 {
-			t.Fatal("nothing was bundled")
+		if c.bundleCount() == 0 {
+			t.Fatal("no bundles in the store, want at least one")
 		}
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 25 * time.Millisecond} })
-		for i := range 1000 { // while each transaction is under way, more changes
+		for i := range 1000 { // new changes arrive during each transaction
 			submit(fmt.Sprintf("later-%04d", i))
 			time.Sleep(5 * time.Millisecond)
 		}
-		if left := c.bundles(); left != 0 {
-			t.Errorf("%d bundles are left after 5 s", left)
+		if left := c.bundleCount(); left != 0 {
+			t.Errorf("%d bundles left in the store after 5 s, want 0", left)
 		}
 		time.Sleep(5 * time.Second)
 	})
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -9,9 +9,9 @@
 	"chutereach/workload"
 )
 
-// inLeaseCell runs a test with short leases and one lasting task, and tells where the
-// task runs.
-func inLeaseCell(t *testing.T, test func(c *cell, o *owner, host string)) {
+// withLastingTask runs a test in a cell with short leases and one long-running task, and passes
+// it the task's worker.
+func withLastingTask(t *testing.T, test func(c *cell, o *owner, host string)) {
 	t.Helper()
 	inCell(t, 4, func(c *cell) {
 		c.lease = shortLease
@@ -28,7 +28,7 @@
 	})
 }
 
-// awaitStarts waits until a number of attempts have begun.
+// awaitStarts waits until a number of attempts have started.
 func (c *cell) awaitStarts(count int, within time.Duration) {
 	c.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -36,28 +36,28 @@
 			return
 		}
 	}
-	c.t.Errorf("%d attempts began within %v, want %d", c.fleet.Starts(), within, count)
+	c.t.Errorf("%d attempts started within %v, want %d", c.fleet.Starts(), within, count)
 }
 
-// assertUndisturbed checks that nothing began anew.
-func (c *cell) assertUndisturbed(host string) {
+// assertNotRestarted checks that the long-running task is still in its first attempt on a worker.
+func (c *cell) assertNotRestarted(host string) {
 	c.t.Helper()
 	if got := c.fleet.Starts(); got != 1 || c.fleet.HostOf("lasting.0.0.0") != host {
-		c.t.Errorf("%d attempts, now on %q; want 1 on %q", got, c.fleet.HostOf("lasting.0.0.0"), host)
+		c.t.Errorf("%d attempts started, the last on %q; want 1 on %q", got, c.fleet.HostOf("lasting.0.0.0"), host)
 	}
 }
 
-// What lasts must run again soon after its worker has gone, and must not end for an
-// outage that the users' platform has.
+// A long-running task restarts soon after its worker is lost, and survives an outage of the
+// platform's store.
 func TestLeases(t *testing.T) {
-	t.Run("a worker vanishes", func(t *testing.T) {
-		inLeaseCell(t, func(c *cell, _ *owner, host string) {
+	t.Run("worker crashes", func(t *testing.T) {
+		withLastingTask(t, func(c *cell, _ *owner, host string) {
 			c.fleet.Crash(host)
 			c.awaitStarts(2, 5*time.Second)
 		})
 	})
-	t.Run("a worker vanishes and the owner dies", func(t *testing.T) {
-		inLeaseCell(t, func(c *cell, o *owner, host string) {
+	t.Run("worker crashes and owner is killed", func(t *testing.T) {
+		withLastingTask(t, func(c *cell, o *owner, host string) {
 			c.fleet.Crash(host)
 			o.kill()
 			time.Sleep(500 * time.Millisecond)
@@ -65,30 +65,30 @@
 			c.awaitStarts(2, 9*time.Second)
 		})
 	})
-	t.Run("the store is down for longer than a lease", func(t *testing.T) {
-		inLeaseCell(t, func(c *cell, o *owner, host string) {
+	t.Run("store down for longer than a lease", func(t *testing.T) {
+		withLastingTask(t, func(c *cell, o *owner, host string) {
 			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 			time.Sleep(7 * time.Second)
 			o.caller.SetFault(nil)
 			time.Sleep(10 * time.Second)
-			c.assertUndisturbed(host)
+			c.assertNotRestarted(host)
 		})
 	})
-	t.Run("a worker that is cut off runs on", func(t *testing.T) {
-		inLeaseCell(t, func(c *cell, _ *owner, host string) {
+	t.Run("worker partitioned but running", func(t *testing.T) {
+		withLastingTask(t, func(c *cell, _ *owner, host string) {
 			c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
 				return fleettest.Fault{Lost: worker == host}
 			})
-			c.awaitStarts(2, 5*time.Second) // the judge sees that the first has ended
+			c.awaitStarts(2, 5*time.Second) // fleettest checks that the first attempt has ended
 			c.fleet.SetFault(nil)
 			time.Sleep(3 * time.Second)
 			if c.fleet.Running() != 1 {
-				t.Errorf("%d attempts run", c.fleet.Running())
+				t.Errorf("%d attempts are running, want 1", c.fleet.Running())
 			}
 		})
 	})
-	t.Run("a takeover, and the former owner still reaches a worker that the new one does not", func(t *testing.T) {
-		inLeaseCell(t, func(c *cell, o *owner, host string) {
+	t.Run("takeover with the worker reachable only by the former owner", func(t *testing.T) {
+		withLastingTask(t, func(c *cell, o *owner, host string) {
 			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 			next := c.rule()
 			next.client.cutOff(host)
@@ -97,9 +97,9 @@
 	})
 }
 
-// The lease of a worker runs out while the grants of a gang there wait for the store:
-// the end of one member takes back the others.
-func TestALeaseRunsOutUnderAGangThatIsOnlyGranted(t *testing.T) {
+// A gang whose worker lease expires while its grants are being written is revoked as a whole and
+// placed again.
+func TestLeaseExpiresWithGangGranted(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		c.lease = shortLease
 		o := c.rule()
