--- a/scheduler/accounts_test.go
+++ b/scheduler/accounts_test.go
@@ -16,38 +16,37 @@
 	"chutereach/workload"
 )
 
-// accounts are client accounts of a test, and the owner that goes by them.
-type accounts struct {
+// accountCell is a cell with client accounts and the owner that enforces their terms.
+type accountCell struct {
 	*cell
-	mu    sync.Mutex // guards owner, which succeed replaces while jobs are handed in
+	mu    sync.Mutex // guards owner, which replaceOwner changes while jobs are submitted
 	owner *owner
 	terms map[string]account.Terms
 }
 
-// current returns the owner of the moment.
-func (a *accounts) current() *owner {
+func (a *accountCell) currentOwner() *owner {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.owner
 }
 
-func (c *cell) accounts(terms ...account.Terms) *accounts {
-	a := &accounts{cell: c, owner: c.rule(), terms: map[string]account.Terms{}}
+func (c *cell) withAccounts(terms ...account.Terms) *accountCell {
+	a := &accountCell{cell: c, owner: c.rule(), terms: map[string]account.Terms{}}
 	for _, t := range terms {
-		a.set(t)
+		a.setTerms(t)
 	}
 	return a
 }
 
-// set puts an account's terms into force.
-func (a *accounts) set(terms account.Terms) {
+// setTerms changes an account's terms and applies them to the owner and to the quota checks.
+func (a *accountCell) setTerms(terms account.Terms) {
 	a.terms[terms.Name] = terms
 	a.fleet.SetQuota(terms.Name, terms.Quota)
-	a.tell()
+	a.applyTerms()
 }
 
-// tell has the owner go by the accounts as they are.
-func (a *accounts) tell() {
+// applyTerms passes the current accounts to the owner.
+func (a *accountCell) applyTerms() {
 	var list []account.Account
 	for _, terms := range a.terms {
 		list = append(list, account.Account{Terms: terms})
@@ -55,60 +54,60 @@
 	a.owner.SetAccounts(account.NewDirectory(list))
 }
 
-// succeed ends the owner's term, as a kill does, and makes a new owner.
-func (a *accounts) succeed() {
+// replaceOwner kills the owner and starts its successor.
+func (a *accountCell) replaceOwner() {
 	a.owner.kill()
 	next := a.rule()
 	a.mu.Lock()
 	a.owner = next
 	a.mu.Unlock()
-	a.tell()
+	a.applyTerms()
 }
 
-// submit hands a job in for an account.
-func (a *accounts) submit(name, id string, queue workload.Queue, request workload.Request, work time.Duration) error {
+// submit submits a job for an account.
+func (a *accountCell) submit(name, id string, queue workload.Queue, request workload.Request, work time.Duration) error {
 	a.fleet.Know(id, fleettest.Kind{
 		Request: request, Attempts: queue.Attempts, Advised: queue.Advice.Needed(), Account: name,
 		Plan: func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: work} },
 	})
 	record := workload.Record{Request: request, Queue: queue, Accepted: time.Now().UnixMilli(), Account: a.terms[name]}
-	return a.current().Submit(a.ctx, id, record)
+	return a.currentOwner().Submit(a.ctx, id, record)
 }
 
-func (a *accounts) mustSubmit(name, id string, queue workload.Queue, request workload.Request, work time.Duration) {
+func (a *accountCell) mustSubmit(name, id string, queue workload.Queue, request workload.Request, work time.Duration) {
 	a.t.Helper()
 	if err := a.submit(name, id, queue, request, work); err != nil {
 		a.t.Fatal(err)
 	}
 }
 
-// awaitFor waits until a job of an account is in a state.
-func (a *accounts) awaitFor(name, id string, want workload.State, within time.Duration) {
+// awaitState waits until a job of an account reaches a state.
+func (a *accountCell) awaitState(name, id string, want workload.State, within time.Duration) {
 	a.t.Helper()
 	state, err := workload.State(""), error(nil)
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if state, err = a.current().Scheduler.State(a.ctx, name, id); state == want {
+		if state, err = a.currentOwner().Scheduler.State(a.ctx, name, id); state == want {
 			return
 		}
 	}
 	a.t.Errorf("job %s is %q (%v) after %v, want %q", id, state, err, within, want)
 }
 
-// awaitFinal waits until a job of an account is final.
-func (a *accounts) awaitFinal(name, id string, within time.Duration) {
+// awaitFinal waits until a job of an account reaches a final state.
+func (a *accountCell) awaitFinal(name, id string, within time.Duration) {
 	a.t.Helper()
 	state := workload.State("")
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if state, _ = a.current().Scheduler.State(a.ctx, name, id); state.Final() {
+		if state, _ = a.currentOwner().Scheduler.State(a.ctx, name, id); state.Final() {
 			return
 		}
 	}
-	a.t.Errorf("job %s of account %s is %q after %v", id, name, state, within)
+	a.t.Errorf("job %s of account %s is %q after %v, want a final state", id, name, state, within)
 }
 
-func quotaOf(cpu resource.MilliCPU) account.Quota { return account.Quota{CPU: cpu} }
+func cpuQuota(cpu resource.MilliCPU) account.Quota { return account.Quota{CPU: cpu} }
 
-// countingAdvisor counts calls.
+// countingAdvisor counts the calls to an advisor.
 type countingAdvisor struct {
 	fleet.Advisor
 	calls atomic.Int64
@@ -119,44 +118,44 @@
 	return a.Advisor.Advise(ctx, step, workers)
 }
 
-// To callers of another account a job is not there, and they cannot take its id.
-func TestJobsOfOtherAccounts(t *testing.T) {
+// A job is not visible to other accounts, and they cannot reuse its ID.
+func TestJobAccessByOtherAccounts(t *testing.T) {
 	inCell(t, 2, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1}, account.Terms{Name: "b", Weight: 1})
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1}, account.Terms{Name: "b", Weight: 1})
 		a.mustSubmit("a", "job", c.queue, jobOf(1, 1_000), time.Second)
 		a.mustSubmit("", "open", c.queue, jobOf(1, 1_000), time.Second)
-		a.checkOwnership("under way")
-		a.succeed()
+		a.checkOwnership("running")
+		a.replaceOwner()
 		a.checkOwnership("after a takeover")
-		a.awaitFor("a", "job", workload.Completed, 5*time.Second)
+		a.awaitState("a", "job", workload.Completed, 5*time.Second)
 		a.checkOwnership("completed")
 		time.Sleep(time.Second)
-		a.succeed()
+		a.replaceOwner()
 		a.checkOwnership("completed, after a takeover")
 	})
 }
 
-// checkOwnership looks at what callers of accounts a and b can do with a's job and an open one.
-func (a *accounts) checkOwnership(stage string) {
+// checkOwnership checks access of accounts a and b to a's job and to one without an account.
+func (a *accountCell) checkOwnership(stage string) {
 	a.t.Helper()
 	_, err := a.owner.Scheduler.State(a.ctx, "b", "job")
-	wantError[*scheduler.NotJobError](a.t, stage+": its state for another account", err)
+	wantError[*scheduler.NotJobError](a.t, stage+": State by another account", err)
 	err = a.owner.Scheduler.Cancel(a.ctx, "b", "job")
-	wantError[*scheduler.NotJobError](a.t, stage+": its cancelling by another account", err)
+	wantError[*scheduler.NotJobError](a.t, stage+": Cancel by another account", err)
 	err = a.submit("b", "job", a.queue, jobOf(1, 1_000), time.Second)
-	wantError[*scheduler.OverloadedError](a.t, stage+": another account's job of the same id", err)
+	wantError[*scheduler.OverloadedError](a.t, stage+": Submit of the same ID by another account", err)
 	if err := a.submit("a", "job", a.queue, jobOf(1, 1_000), time.Second); err != nil {
-		a.t.Errorf("%s: the same job again: %v", stage, err)
+		a.t.Errorf("%s: Submit of the same job again: %v", stage, err)
 	}
 	if _, err := a.owner.Scheduler.State(a.ctx, "b", "open"); err != nil {
-		a.t.Errorf("%s: a job without an account: %v", stage, err)
+		a.t.Errorf("%s: State of a job without an account: %v", stage, err)
 	}
 }
 
-// Metrics tell which account is at its quota, and what waits for that.
-func TestUsageOfAccounts(t *testing.T) {
+// AccountUsage reports the usage of each account and the jobs held back or refused by its quota.
+func TestAccountUsage(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(8_000)}, account.Terms{Name: "b", Weight: 1})
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(8_000)}, account.Terms{Name: "b", Weight: 1})
 		a.mustSubmit("a", "wide", c.queue, jobOf(4, 4_000), 2*time.Second)
 		a.mustSubmit("a", "later", c.queue, jobOf(1, 4_000), time.Second)
 		a.mustSubmit("b", "beside", c.queue, jobOf(1, 1_000), 2*time.Second)
@@ -174,18 +173,18 @@
 	})
 }
 
-// A job whose account is gone from the configuration runs on, on the terms that it came with.
-func TestAnAccountGoesWhileItsJobsRun(t *testing.T) {
+// A job whose account is removed from the configuration keeps the terms it was submitted with.
+func TestAccountRemovedWhileJobsRun(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(4_000)})
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(4_000)})
 		a.mustSubmit("a", "job", c.queue, jobOf(3, 4_000), time.Second)
 		delete(a.terms, "a")
-		a.tell()
+		a.applyTerms()
 		time.Sleep(500 * time.Millisecond)
-		a.succeed()
-		a.awaitFor("a", "job", workload.Completed, 10*time.Second)
+		a.replaceOwner()
+		a.awaitState("a", "job", workload.Completed, 10*time.Second)
 		if most := c.fleet.MostUsed("a"); most.CPU != 4_000 {
-			t.Errorf("it had %v running at the most, want 4", most.CPU)
+			t.Errorf("peak CPU usage of account a is %v, want 4", most.CPU)
 		}
 	})
 }
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -11,20 +11,20 @@
 	"chutereach/workload"
 )
 
-// half and whole are capacities of a worker that shrinks and grows while it runs.
+// half and whole are the capacities between which tests resize a worker.
 var (
 	half  = resource.Amount{CPU: 8_000, Memory: 32 * gigabyte}
 	whole = resource.Amount{CPU: 16_000, Memory: 64 * gigabyte}
 )
 
-// A worker that has shrunk while the grants of its tasks were being written does not start
-// more than it has room for now.
-func TestAWorkerShrinksUnderAGrant(t *testing.T) {
+// A worker that shrinks while grants are being written starts no more tasks than it now has
+// capacity for.
+func TestWorkerShrinksDuringGrant(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		o := c.rule()
 		time.Sleep(500 * time.Millisecond)
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 1100 * time.Millisecond} })
-		if err := c.submitSlowly(o, "job", jobOf(2, 8_000)); err != nil {
+		if err := c.submitWithoutTimeout(o, "job", jobOf(2, 8_000)); err != nil {
 			t.Fatal(err)
 		}
 		c.fleet.Resize("w-00", half)
@@ -34,8 +34,8 @@
 	})
 }
 
-// Room that a worker has got is used as soon as discovery tells of it.
-func TestAWorkerGrows(t *testing.T) {
+// Added capacity of a worker is used as soon as discovery reports it.
+func TestWorkerGrows(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
 		c.fleet.Resize("w-00", half)
 		o := c.rule()
@@ -50,17 +50,17 @@
 	})
 }
 
-// Whatever the order of shrinking, growing, starts, stops and takeovers, no start brings a
-// worker over what it has: the judge of the fleet looks at each.
-func TestCapacityInAnyOrder(t *testing.T) {
-	const orders = 1000
-	inRounds(t, orders, func(t *testing.T, seed uint64) {
-		inCell(t, 3, func(c *cell) { c.resizeInAnyOrder(rand.New(rand.NewPCG(seed, 3))) })
+// No start exceeds a worker's capacity under random sequences of resizes, starts, stops and
+// takeovers. The fleettest package checks every start.
+func TestCapacityRandomOrder(t *testing.T) {
+	const sequences = 1000
+	forSeeds(t, sequences, func(t *testing.T, seed uint64) {
+		inCell(t, 3, func(c *cell) { c.runRandomResizes(rand.New(rand.NewPCG(seed, 3))) })
 	})
 }
 
-// inRounds runs a test for a number of seeds, some at a time.
-func inRounds(t *testing.T, seeds int, test func(*testing.T, uint64)) {
+// forSeeds runs a test for a number of seeds, grouped into subtests.
+func forSeeds(t *testing.T, seeds int, test func(*testing.T, uint64)) {
 	t.Helper()
 	const rounds = 20
 	for round := range rounds {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (c *cell) resizeInAnyOrder(random *rand.Rand) {
+func (c *cell) runRandomResizes(random *rand.Rand) {
 	o := c.rule()
 	time.Sleep(500 * time.Millisecond)
 	for i := range 12 {
@@ -91,7 +91,7 @@
 		name := fmt.Sprintf("job-%d", i)
 		request := jobOf(1+random.IntN(4), resource.MilliCPU(1000+random.IntN(7000)))
 		request.Steps[0].Gang = random.IntN(4) == 0
-		if err := c.submitSlowly(o, name, request); err != nil {
+		if err := c.submitWithoutTimeout(o, name, request); err != nil {
 			c.t.Errorf("job %s: %v", name, err)
 		}
 		if random.IntN(4) == 0 {
@@ -103,8 +103,8 @@
 	}
 }
 
-// submitSlowly hands a job in and waits for the store, however slow it is.
-func (c *cell) submitSlowly(o *owner, id string, request workload.Request) error {
+// submitWithoutTimeout submits a job and waits for the store without a time limit.
+func (c *cell) submitWithoutTimeout(o *owner, id string, request workload.Request) error {
 	c.know(id, request, work(700*time.Millisecond))
 	return o.Submit(c.ctx, id, workload.Record{Request: request, Queue: c.queue, Accepted: time.Now().UnixMilli()})
 }
--- a/scheduler/fairness_test.go
+++ b/scheduler/fairness_test.go
@@ -12,66 +12,66 @@
 	"chutereach/workload"
 )
 
-// market is a load of several accounts that send lookups and statements, one of them far more
-// than it is owed.
-type market struct {
-	*accounts
+// fairnessLoad submits lookups and statements for several accounts, one of which far exceeds its
+// share.
+type fairnessLoad struct {
+	*accountCell
 	random  *rand.Rand
 	jobs    int
-	waiting sync.WaitGroup
+	pending sync.WaitGroup
 
-	tally // of the busy account and of the others
+	tally // by account group, see groupOf
 }
 
 const (
-	marketAccounts = 6
-	// marketWeight is what each account is owed, in jobs a second; it sends half of it, and
-	// the busy one twelve times its usual.
-	marketWeight  = 8.0
-	usualPerS     = marketWeight / 2
-	busyTimes     = 12
+	loadAccounts = 6
+	// accountWeight is the share of each account in jobs per second. Accounts submit half of it,
+	// the busy one busyFactor times as much.
+	accountWeight = 8.0
+	normalRate    = accountWeight / 2
+	busyFactor    = 12
 	busyAccount   = "account-0"
-	marketWorkers = 16
+	loadWorkers   = 16
 )
 
-// playMarket plays the load for a while. The first owner is replaced halfway if takeover is true.
-func playMarket(t *testing.T, seed uint64, span time.Duration, takeover bool) (m *market) {
+// runFairnessLoad generates the load for a time span. With takeover, the owner is replaced halfway.
+func runFairnessLoad(t *testing.T, seed uint64, span time.Duration, takeover bool) (m *fairnessLoad) {
 	t.Helper()
 	inCell(t, 0, func(c *cell) {
-		c.addLarge(marketWorkers)
+		c.addLargeWorkers(loadWorkers)
 		c.lease = shortLease
 		var terms []account.Terms
-		for i := range marketAccounts {
-			terms = append(terms, account.Terms{Name: fmt.Sprintf("account-%d", i), Weight: marketWeight})
+		for i := range loadAccounts {
+			terms = append(terms, account.Terms{Name: fmt.Sprintf("account-%d", i), Weight: accountWeight})
 		}
-		m = &market{accounts: c.accounts(terms...), random: rand.New(rand.NewPCG(seed, 5))}
+		m = &fairnessLoad{accountCell: c.withAccounts(terms...), random: rand.New(rand.NewPCG(seed, 5))}
 		time.Sleep(time.Second)
-		for begun := time.Now(); time.Since(begun) < span; time.Sleep(20 * time.Millisecond) {
-			if takeover && time.Since(begun) > span/2 {
+		for start := time.Now(); time.Since(start) < span; time.Sleep(20 * time.Millisecond) {
+			if takeover && time.Since(start) > span/2 {
 				takeover = false
-				m.succeed()
+				m.replaceOwner()
 			}
-			m.arrive()
+			m.submitArrivals()
 		}
-		m.waiting.Wait()
+		m.pending.Wait()
 	})
 	return m
 }
 
-// arrive hands in what comes in 20 ms.
-func (m *market) arrive() {
-	for i := range marketAccounts {
-		name, rate := fmt.Sprintf("account-%d", i), usualPerS
+// submitArrivals submits the jobs that arrive within 20 ms.
+func (m *fairnessLoad) submitArrivals() {
+	for i := range loadAccounts {
+		name, rate := fmt.Sprintf("account-%d", i), normalRate
 		if name == busyAccount {
-			rate *= busyTimes
+			rate *= busyFactor
 		}
 		for ; m.random.Float64() < 0.02*rate; rate = 0 {
-			m.hand(name)
+			m.submitJob(name)
 		}
 	}
 }
 
-func (m *market) hand(name string) {
+func (m *fairnessLoad) submitJob(name string) {
 	queue, count, estimate := lookups, 1+m.random.IntN(4), 640*time.Millisecond
 	if m.random.Float64() < 0.05 {
 		queue, count, estimate = statements, 4+m.random.IntN(12), 3400*time.Millisecond
@@ -82,18 +82,18 @@
 	}}}
 	m.jobs++
 	id := fmt.Sprintf("job-%04d", m.jobs)
-	came, objective := time.Now(), time.Duration(queue.Stretch*float64(work))+queue.Target
-	m.waiting.Go(func() {
+	submittedAt, objective := time.Now(), time.Duration(queue.Stretch*float64(work))+queue.Target
+	m.pending.Go(func() {
 		if err := m.submit(name, id, queue, request, work); err != nil {
-			m.note(groupOf(name), false)
+			m.record(groupOf(name), false)
 			return
 		}
 		m.awaitFinal(name, id, time.Minute)
-		m.note(groupOf(name), time.Since(came) <= objective)
+		m.record(groupOf(name), time.Since(submittedAt) <= objective)
 	})
 }
 
-// groupOf returns as whose an account's jobs are counted.
+// groupOf returns the group under which an account's jobs are counted.
 func groupOf(name string) string {
 	if name == busyAccount {
 		return "busy"
@@ -101,21 +101,21 @@
 	return "others"
 }
 
-// One account sends twelve times its usual: the others are served in time, and the busy one as
-// much as there is room for.
-func TestOneAccountSendsManyTimesItsUsual(t *testing.T) {
+// An account that submits many times its usual load does not delay the jobs of other accounts,
+// and still uses the spare capacity.
+func TestFairnessWithOneBusyAccount(t *testing.T) {
 	const (
-		leastOthers = 0.97 // 0.76 where work is ordered by when it must begin alone
-		leastBusy   = 0.7  // 0.77 in either order
+		minOthers = 0.97
+		minBusy   = 0.7
 	)
 	for _, takeover := range []bool{false, true} {
 		t.Run(fmt.Sprintf("takeover %v", takeover), func(t *testing.T) {
-			m := playMarket(t, 1, 15*time.Second, takeover)
-			if r := m.results["others"]; r.share() < leastOthers {
-				t.Errorf("%d of %d jobs of the other accounts were in time", r.inTime, r.jobs)
+			m := runFairnessLoad(t, 1, 15*time.Second, takeover)
+			if r := m.results["others"]; r.onTimeShare() < minOthers {
+				t.Errorf("%d of %d jobs of the other accounts were on time, want a share of at least %v", r.inTime, r.jobs, minOthers)
 			}
-			if r := m.results["busy"]; r.share() < leastBusy {
-				t.Errorf("%d of %d jobs of the busy account were in time", r.inTime, r.jobs)
+			if r := m.results["busy"]; r.onTimeShare() < minBusy {
+				t.Errorf("%d of %d jobs of the busy account were on time, want a share of at least %v", r.inTime, r.jobs, minBusy)
 			}
 		})
 	}
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -15,8 +15,8 @@
 	"chutereach/workload"
 )
 
-// submitTo hands a job in under a queue of its own.
-func (c *cell) submitTo(o *owner, queue workload.Queue, id string, request workload.Request, work time.Duration) {
+// submitToQueue submits a job to a given queue.
+func (c *cell) submitToQueue(o *owner, queue workload.Queue, id string, request workload.Request, work time.Duration) {
 	c.t.Helper()
 	c.fleet.Know(id, fleettest.Kind{
 		Request: request, Attempts: queue.Attempts, Advised: queue.Advice.Needed(),
@@ -30,37 +30,37 @@
 	}
 }
 
-// Work that may wait gives its room to work that may not, if that costs little; it
-// is carried on from its checkpoint and ends, and nothing runs twice.
-func TestWorkThatMayWaitGivesWay(t *testing.T) {
+// Tasks with slack and checkpoints are preempted for urgent work of a higher priority. They resume
+// from their checkpoint and complete.
+func TestPreemption(t *testing.T) {
 	const fillerWork = 6 * time.Second
 	cases := []struct {
-		name    string
-		change  func(filler *workload.Step, queue *workload.Queue)
-		gang    bool
-		advised bool
-		patient bool // the work that comes has time itself
-		yields  bool
+		name     string
+		change   func(filler *workload.Step, queue *workload.Queue)
+		gang     bool
+		advised  bool
+		hasSlack bool // the submitted job is not urgent
+		preempts bool
 	}{
-		{name: "to single tasks", yields: true},
-		{name: "to a gang", gang: true, yields: true},
-		{name: "to a gang that needs advice", gang: true, advised: true, yields: true},
-		{name: "not to work that has time", patient: true},
-		{name: "not to a gang that has time", patient: true, gang: true},
+		{name: "for single tasks", preempts: true},
+		{name: "for a gang", gang: true, preempts: true},
+		{name: "for a gang that needs advice", gang: true, advised: true, preempts: true},
+		{name: "not for a job with slack", hasSlack: true},
+		{name: "not for a gang with slack", hasSlack: true, gang: true},
 		{
-			name: "not if its work would be lost", gang: true,
+			name: "not without checkpoints", gang: true,
 			change: func(filler *workload.Step, _ *workload.Queue) { filler.Checkpoints = false },
 		},
 		{
-			name: "not if it would be late for that", gang: true,
+			name: "not if the preempted job would be late", gang: true,
 			change: func(_ *workload.Step, queue *workload.Queue) { queue.Stretch, queue.Target = 1, time.Second },
 		},
 		{
-			name: "not to work of the same priority", gang: true,
+			name: "not at the same priority", gang: true,
 			change: func(_ *workload.Step, queue *workload.Queue) { queue.Priority = 1 },
 		},
 		{
-			name: "not if it is a gang", gang: true,
+			name: "not of a gang", gang: true,
 			change: func(filler *workload.Step, _ *workload.Queue) { filler.Gang = true },
 		},
 	}
@@ -73,22 +73,22 @@
 				if test.change != nil {
 					test.change(&filler, &claims)
 				}
-				c.submitTo(o, claims, "filler", workload.Request{Spec: "f", Steps: []workload.Step{filler}}, fillerWork)
+				c.submitToQueue(o, claims, "filler", workload.Request{Spec: "f", Steps: []workload.Step{filler}}, fillerWork)
 				time.Sleep(time.Second)
 				desk := workload.Queue{Name: "desk", Service: testService, Priority: 1, Attempts: 3, Stretch: 2, Target: time.Second}
-				if test.patient {
+				if test.hasSlack {
 					desk.Stretch = 10
 				}
 				if test.advised {
 					desk.Advice = workload.AdvicePolicy{Decision: 100 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 				}
 				urgent := workload.Step{Count: 4, Need: resource.Amount{CPU: 4000, Memory: gigabyte}, Estimate: time.Second, Gang: test.gang}
-				begun := time.Now()
-				c.submitTo(o, desk, "urgent", workload.Request{Spec: "u", Steps: []workload.Step{urgent}}, time.Second)
+				start := time.Now()
+				c.submitToQueue(o, desk, "urgent", workload.Request{Spec: "u", Steps: []workload.Step{urgent}}, time.Second)
 				c.await(o, "urgent", workload.Completed, 12*time.Second)
-				took := time.Since(begun)
-				if yields := took < 3*time.Second; yields != test.yields {
-					t.Errorf("completed after %v, gave way: want %v", took, test.yields)
+				took := time.Since(start)
+				if preempts := took < 3*time.Second; preempts != test.preempts {
+					t.Errorf("completed after %v, so preemption is %v, want %v", took, preempts, test.preempts)
 				}
 				c.await(o, "filler", workload.Completed, 20*time.Second)
 			})
@@ -96,38 +96,38 @@
 	}
 }
 
-// slowAdvisor takes one call at a time, and long for steps whose name begins so.
+// slowAdvisor serves one call at a time, and delays calls for steps whose name has slowPrefix.
 type slowAdvisor struct {
 	fleet.Advisor
-	turn chan struct{}
-	slow string
-	took time.Duration
+	slot       chan struct{}
+	slowPrefix string
+	delay      time.Duration
 }
 
 func (a *slowAdvisor) Advise(ctx context.Context, step string, workers []string) (fleet.Advice, error) {
 	select {
-	case a.turn <- struct{}{}:
+	case a.slot <- struct{}{}:
 	case <-ctx.Done():
 		return fleet.Advice{}, &fleet.AdvisorError{Cause: ctx.Err()}
 	}
-	defer func() { <-a.turn }()
-	if strings.HasPrefix(step, a.slow) {
-		time.Sleep(a.took)
+	defer func() { <-a.slot }()
+	if strings.HasPrefix(step, a.slowPrefix) {
+		time.Sleep(a.delay)
 	}
 	return a.Advisor.Advise(ctx, step, workers)
 }
 
-// Urgent work finds lanes although work that is costly to ask about fills the others.
-func TestCostlyCallsLeaveLanesForCheapOnes(t *testing.T) {
+// Expensive advice calls do not occupy all lanes, so that cheap calls for urgent jobs are not delayed.
+func TestExpensiveAdviceCallsDoNotDelayCheapOnes(t *testing.T) {
 	const (
 		costlyCall = 800 * time.Millisecond
-		lookups    = 60 // more at once than the own lane serves in time
+		cheapCalls = 60 // more than the local lane alone can serve in time
 	)
 	inCell(t, 8, func(c *cell) {
 		o := c.rule()
 		var lanes []scheduler.Lane
 		for i := range 5 {
-			advisor := &slowAdvisor{Advisor: c.fleet, turn: make(chan struct{}, 1), slow: "costly", took: costlyCall}
+			advisor := &slowAdvisor{Advisor: c.fleet, slot: make(chan struct{}, 1), slowPrefix: "costly", delay: costlyCall}
 			lanes = append(lanes, scheduler.Lane{Node: fmt.Sprintf("lane-%d", i), Self: i == 0, Advisor: advisor})
 		}
 		o.SetLanes(lanes)
@@ -136,25 +136,25 @@
 			Advice: workload.AdvicePolicy{Decision: costlyCall, Each: time.Millisecond, Valid: 2 * time.Second},
 		}
 		for i := range 20 {
-			c.submitTo(o, costly, fmt.Sprintf("costly-%02d", i), jobOf(1, 1000), time.Second)
+			c.submitToQueue(o, costly, fmt.Sprintf("costly-%02d", i), jobOf(1, 1000), time.Second)
 		}
 		cheap := workload.Queue{
 			Name: "lookups", Service: testService, Priority: 0, Attempts: 3, Stretch: 1.5, Target: 250 * time.Millisecond,
 			Advice: workload.AdvicePolicy{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second},
 		}
-		begun := time.Now()
+		start := time.Now()
 		var submitted sync.WaitGroup
-		for i := range lookups {
+		for i := range cheapCalls {
 			submitted.Go(func() {
-				c.submitTo(o, cheap, fmt.Sprintf("cheap-%02d", i), jobOf(1, 1000), 200*time.Millisecond)
+				c.submitToQueue(o, cheap, fmt.Sprintf("cheap-%02d", i), jobOf(1, 1000), 200*time.Millisecond)
 			})
 		}
 		submitted.Wait()
-		for i := range lookups {
+		for i := range cheapCalls {
 			c.await(o, fmt.Sprintf("cheap-%02d", i), workload.Completed, 5*time.Second)
 		}
-		if took := time.Since(begun); took > 700*time.Millisecond {
-			t.Errorf("the last one took %v", took)
+		if took := time.Since(start); took > 700*time.Millisecond {
+			t.Errorf("cheap jobs completed after %v, want at most 700ms", took)
 		}
 	})
 }
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -15,95 +15,95 @@
 	"chutereach/workload"
 )
 
-// wantError fails the test if an error is not of a type.
+// wantError fails the test if an error has no E in its chain.
 func wantError[E error](t testing.TB, what string, err error) {
 	t.Helper()
 	var want E
 	if !errors.As(err, &want) {
-		t.Errorf("%s: %v, want %T", what, err, want)
+		t.Errorf("%s: got error %v, want %T", what, err, want)
 	}
 }
 
-// A wide step of an account runs in waves within its quota, and holds nobody else back.
-func TestAStepWiderThanItsQuotaRunsInWaves(t *testing.T) {
+// A step wider than its account's quota runs in batches within it and does not delay other accounts.
+func TestWideStepRunsWithinQuota(t *testing.T) {
 	for _, sameRack := range []bool{false, true} {
 		t.Run(fmt.Sprintf("same rack %v", sameRack), func(t *testing.T) {
 			inCell(t, 4, func(c *cell) {
-				a := c.accounts(account.Terms{Name: "small", Weight: 1, Quota: quotaOf(8_000)}, account.Terms{Name: "other", Weight: 1})
+				a := c.withAccounts(account.Terms{Name: "small", Weight: 1, Quota: cpuQuota(8_000)}, account.Terms{Name: "other", Weight: 1})
 				wide := jobOf(6, 4_000)
 				wide.Steps[0].SameRack = sameRack
 				a.mustSubmit("small", "wide", c.queue, wide, time.Second)
 				a.mustSubmit("other", "beside", c.queue, jobOf(8, 4_000), time.Second)
-				a.awaitFor("other", "beside", workload.Completed, 3*time.Second)
-				a.awaitFor("small", "wide", workload.Completed, 6*time.Second)
+				a.awaitState("other", "beside", workload.Completed, 3*time.Second)
+				a.awaitState("small", "wide", workload.Completed, 6*time.Second)
 				if most := c.fleet.MostUsed("small"); most.CPU != 8_000 {
-					t.Errorf("it had %v running at the most, want 8", most.CPU)
+					t.Errorf("peak CPU usage of account small is %v, want 8", most.CPU)
 				}
 			})
 		})
 	}
 }
 
-// What can never run within its account's quota is refused when it is handed in.
-func TestWhatNeverFitsItsQuotaIsRefused(t *testing.T) {
+// A request that can never run within its account's quota is rejected by Submit.
+func TestRequestExceedingQuotaRejected(t *testing.T) {
 	cases := []struct {
-		name    string
-		quota   account.Quota
-		request workload.Request
-		taken   bool
+		name     string
+		quota    account.Quota
+		request  workload.Request
+		accepted bool
 	}{
 		{"no quota", account.Quota{}, gangOf(4, 8_000), true},
-		{"a gang that fits", quotaOf(32_000), gangOf(4, 8_000), true},
-		{"a gang that does not", quotaOf(31_999), gangOf(4, 8_000), false},
-		{"a wide step", quotaOf(8_000), jobOf(4, 8_000), true},
-		{"one task that does not fit", quotaOf(7_999), jobOf(1, 8_000), false},
-		{"too much memory", account.Quota{Memory: gigabyte - 1}, jobOf(1, 8_000), false},
-		{"nothing allowed", quotaOf(-1), jobOf(1, 1), false},
+		{"gang within the quota", cpuQuota(32_000), gangOf(4, 8_000), true},
+		{"gang over the quota", cpuQuota(31_999), gangOf(4, 8_000), false},
+		{"step wider than the quota", cpuQuota(8_000), jobOf(4, 8_000), true},
+		{"task over the quota", cpuQuota(7_999), jobOf(1, 8_000), false},
+		{"memory over the quota", account.Quota{Memory: gigabyte - 1}, jobOf(1, 8_000), false},
+		{"quota of nothing", cpuQuota(-1), jobOf(1, 1), false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			inCell(t, 4, func(c *cell) {
-				a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: test.quota})
+				a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: test.quota})
 				err := a.submit("a", "job", c.queue, test.request, time.Second)
-				if test.taken {
+				if test.accepted {
 					if err != nil {
 						t.Error(err)
 					}
 					return
 				}
-				wantError[*scheduler.QuotaError](t, "handing it in", err)
+				wantError[*scheduler.QuotaError](t, "Submit", err)
 				_, err = a.owner.Scheduler.State(c.ctx, "a", "job")
-				wantError[*scheduler.NotJobError](t, "its state", err)
+				wantError[*scheduler.NotJobError](t, "State", err)
 			})
 		})
 	}
 }
 
-// A quota that is lowered below what runs stops new starts only, and one that is raised is
-// used at once.
-func TestAQuotaIsLoweredAndRaised(t *testing.T) {
+// A quota lowered below the current usage only blocks new starts. A raised quota takes effect at
+// once.
+func TestQuotaChange(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(16_000)})
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)})
 		a.mustSubmit("a", "first", c.queue, jobOf(4, 4_000), 3*time.Second)
 		c.awaitStarts(4, time.Second)
-		a.set(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(4_000)})
+		a.setTerms(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(4_000)})
 		a.mustSubmit("a", "second", c.queue, jobOf(2, 4_000), time.Second)
 		time.Sleep(time.Second)
 		if used := c.fleet.UsedBy("a"); used.CPU != 16_000 {
-			t.Errorf("%v run after the quota was lowered, want 16", used.CPU)
+			t.Errorf("CPU usage after the quota was lowered is %v, want 16", used.CPU)
 		}
-		a.set(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(24_000)})
+		a.setTerms(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(24_000)})
 		c.awaitStarts(6, time.Second)
-		a.awaitFor("a", "first", workload.Completed, 5*time.Second)
-		a.awaitFor("a", "second", workload.Completed, 5*time.Second)
+		a.awaitState("a", "first", workload.Completed, 5*time.Second)
+		a.awaitState("a", "second", workload.Completed, 5*time.Second)
 	})
 }
 
-// At its quota, an account's urgent job has its own batch work give way, and no other
-// account's, though there is room beside.
-func TestUrgentWorkTakesItsOwnAccountsQuota(t *testing.T) {
+// An urgent job of an account at its quota preempts batch tasks of the same account only, even if
+// the workers have free capacity.
+func TestPreemptionAtQuota(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(16_000)}, account.Terms{Name: "b", Weight: 1})
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)}, account.Terms{Name: "b", Weight: 1})
 		batch := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 5, Target: 20 * time.Second}
 		filler := workload.Request{Spec: "f", Steps: []workload.Step{{
 			Count: 4, Need: resource.Amount{CPU: 4_000, Memory: gigabyte}, Estimate: 6 * time.Second, Checkpoints: true,
@@ -114,22 +114,22 @@
 		time.Sleep(500 * time.Millisecond)
 		lookups := workload.Queue{Name: "lookups", Service: testService, Priority: 0, Attempts: 3, Stretch: 2, Target: time.Second}
 		a.mustSubmit("a", "urgent", lookups, jobOf(1, 4_000), time.Second)
-		a.awaitFor("a", "urgent", workload.Completed, 2500*time.Millisecond)
+		a.awaitState("a", "urgent", workload.Completed, 2500*time.Millisecond)
 		if used := c.fleet.UsedBy("b"); used.CPU != 16_000 {
-			t.Errorf("%v of the other account run, want 16", used.CPU)
+			t.Errorf("CPU usage of account b is %v, want 16", used.CPU)
 		}
-		a.awaitFor("a", "batch-a", workload.Completed, 15*time.Second)
+		a.awaitState("a", "batch-a", workload.Completed, 15*time.Second)
 	})
 }
 
-// Jobs of an account at its quota ask for no advice: their tickets would run out unused.
-func TestNoAdviceForWhatTheQuotaHoldsBack(t *testing.T) {
+// No advice is requested for jobs of an account at its quota. Their tickets would expire unused.
+func TestNoAdviceCallsAtQuota(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(4_000)})
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(4_000)})
 		advisor := &countingAdvisor{Advisor: c.fleet}
 		a.owner.SetLanes([]scheduler.Lane{{Node: "node", Self: true, Advisor: advisor}})
 		advised := c.queue
-		advised.Name = "advised" // the queue in force asks for none
+		advised.Name = "advised" // the configured queue needs no advice
 		advised.Advice = workload.AdvicePolicy{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 		a.mustSubmit("a", "first", advised, jobOf(1, 4_000), 5*time.Second)
 		c.awaitStarts(1, time.Second)
@@ -137,35 +137,35 @@
 		a.mustSubmit("a", "second", advised, jobOf(1, 4_000), time.Second)
 		time.Sleep(3 * time.Second)
 		if more := advisor.calls.Load() - asked; more != 0 {
-			t.Errorf("%d calls for advice while the quota holds the job back", more)
+			t.Errorf("%d advice calls while the quota blocks the job, want 0", more)
 		}
-		a.awaitFor("a", "second", workload.Completed, 10*time.Second)
+		a.awaitState("a", "second", workload.Completed, 10*time.Second)
 	})
 }
 
-// A gang of an account is not starved by the account's own small jobs.
-func TestAGangGetsItsAccountsQuota(t *testing.T) {
+// Small jobs of an account at its quota do not starve a gang of the same account.
+func TestGangNotStarvedAtQuota(t *testing.T) {
 	inCell(t, 8, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(16_000)})
-		patient := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 50, Target: time.Minute}
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)})
+		lowPriority := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 50, Target: time.Minute}
 		go func() {
 			for i := 0; c.ctx.Err() == nil; i++ {
 				time.Sleep(200 * time.Millisecond)
-				if err := a.submit("a", fmt.Sprintf("small-%d", i), patient, jobOf(1, 4_000), time.Second); err != nil && c.ctx.Err() == nil {
+				if err := a.submit("a", fmt.Sprintf("small-%d", i), lowPriority, jobOf(1, 4_000), time.Second); err != nil && c.ctx.Err() == nil {
 					t.Error(err)
 				}
 			}
 		}()
 		time.Sleep(2 * time.Second)
 		a.mustSubmit("a", "gang", c.queue, gangOf(4, 4_000), time.Second)
-		a.awaitFor("a", "gang", workload.Completed, 4*time.Second)
+		a.awaitState("a", "gang", workload.Completed, 4*time.Second)
 	})
 }
 
-// What still runs of a cancelled job counts for a successor too.
-func TestTasksOfACancelledJobCountAfterATakeover(t *testing.T) {
+// Running tasks of a cancelled job still count toward the quota after a takeover.
+func TestCancelledTasksCountTowardQuotaAfterTakeover(t *testing.T) {
 	inCell(t, 4, func(c *cell) {
-		a := c.accounts(account.Terms{Name: "a", Weight: 1, Quota: quotaOf(16_000)})
+		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)})
 		a.mustSubmit("a", "job", c.queue, jobOf(4, 4_000), 20*time.Second)
 		c.awaitStarts(4, time.Second)
 		c.fleet.SetFault(func(call fleettest.Call, _ string) fleettest.Fault {
@@ -174,38 +174,38 @@
 		if err := a.owner.Scheduler.Cancel(c.ctx, "a", "job"); err != nil {
 			t.Fatal(err)
 		}
-		a.succeed()
+		a.replaceOwner()
 		a.mustSubmit("a", "next", c.queue, jobOf(4, 4_000), time.Second)
 		time.Sleep(time.Second)
 		if c.fleet.Began("next") {
-			t.Error("the next job began while the quota was in use")
+			t.Error("job next started while the cancelled job used the whole quota")
 		}
 		c.fleet.SetFault(nil)
-		a.awaitFor("a", "next", workload.Completed, 5*time.Second)
+		a.awaitState("a", "next", workload.Completed, 5*time.Second)
 	})
 }
 
-// Whatever the order of starts, late starts, ends, cancelling, takeovers, crashes, shrinking
-// and changes of quotas, no start brings an account over its quota: the judge of the fleet
-// looks at each. And every job ends.
-func TestQuotasInAnyOrder(t *testing.T) {
-	const orders = 1000
-	inRounds(t, orders, func(t *testing.T, seed uint64) {
-		inCell(t, 6, func(c *cell) { c.quotasInAnyOrder(rand.New(rand.NewPCG(seed, 9))) })
+// No start exceeds an account's quota under random sequences of late starts, cancellations,
+// takeovers, crashes, resizes and quota changes, and every job ends. The fleettest package checks
+// every start.
+func TestQuotasRandomOrder(t *testing.T) {
+	const sequences = 1000
+	forSeeds(t, sequences, func(t *testing.T, seed uint64) {
+		inCell(t, 6, func(c *cell) { c.runRandomQuotaEvents(rand.New(rand.NewPCG(seed, 9))) })
 	})
 }
 
-func (c *cell) quotasInAnyOrder(random *rand.Rand) {
+func (c *cell) runRandomQuotaEvents(random *rand.Rand) {
 	c.lease = shortLease
 	names := []string{"a", "b", "c"}
-	a := c.accounts()
+	a := c.withAccounts()
 	for _, name := range names {
-		a.set(account.Terms{Name: name, Weight: 1, Quota: randomQuota(random)})
+		a.setTerms(account.Terms{Name: name, Weight: 1, Quota: randomQuota(random)})
 	}
 	time.Sleep(500 * time.Millisecond)
-	jobs := map[string]string{} // the account of each
+	jobs := map[string]string{} // account by job
 	for i := range 14 {
-		c.disturb(a, random, names)
+		c.applyRandomQuotaEvent(a, random, names)
 		name, id := names[random.IntN(len(names))], fmt.Sprintf("job-%d", i)
 		queue := c.queue
 		queue.Priority = random.IntN(3)
@@ -224,7 +224,7 @@
 		c.fleet.Resize(fmt.Sprintf("w-%02d", i), whole)
 	}
 	for _, name := range names {
-		a.set(account.Terms{Name: name, Weight: 1, Quota: quotaOf(64_000)})
+		a.setTerms(account.Terms{Name: name, Weight: 1, Quota: cpuQuota(64_000)})
 	}
 	for id, name := range jobs {
 		a.awaitFinal(name, id, 20*time.Second)
@@ -232,7 +232,7 @@
 }
 
 func randomQuota(random *rand.Rand) account.Quota {
-	quota := quotaOf(resource.MilliCPU(2_000 + random.IntN(30_000)))
+	quota := cpuQuota(resource.MilliCPU(2_000 + random.IntN(30_000)))
 	if random.IntN(3) == 0 {
 		quota.Memory = resource.Bytes(1+random.IntN(10)) * gigabyte
 	}
@@ -248,14 +248,15 @@
 	return request
 }
 
-// disturb does one thing that quotas have to bear.
-func (c *cell) disturb(a *accounts, random *rand.Rand, names []string) {
+// applyRandomQuotaEvent changes a quota or a worker, replaces the owner, cancels a job, or sets or
+// clears a fault.
+func (c *cell) applyRandomQuotaEvent(a *accountCell, random *rand.Rand, names []string) {
 	worker := fmt.Sprintf("w-%02d", random.IntN(6))
 	switch random.IntN(10) {
 	case 0, 1:
-		a.set(account.Terms{Name: names[random.IntN(len(names))], Weight: 1, Quota: randomQuota(random)})
+		a.setTerms(account.Terms{Name: names[random.IntN(len(names))], Weight: 1, Quota: randomQuota(random)})
 	case 2:
-		a.succeed()
+		a.replaceOwner()
 	case 3:
 		if c.fleet.Alive(worker) {
 			c.fleet.Restart(worker)
@@ -263,13 +264,13 @@
 	case 4:
 		c.fleet.Resize(worker, []resource.Amount{half, whole}[random.IntN(2)])
 	case 5:
-		c.fleet.SetFault(lateStarts(random))
+		c.fleet.SetFault(delayStarts(random))
 	case 6:
 		c.fleet.SetFault(nil)
 	case 7:
 		id := fmt.Sprintf("job-%d", random.IntN(14))
 		for _, name := range names {
-			a.owner.Scheduler.Cancel(c.ctx, name, id) // not theirs, or final already: nothing changes
+			a.owner.Scheduler.Cancel(c.ctx, name, id) // no effect if the job is another account's or final
 		}
 	case 8:
 		a.owner.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 200 * time.Millisecond} })
@@ -278,9 +279,9 @@
 	}
 }
 
-// lateStarts has a third of the starts carried out up to 3.2 s late, without an answer.
-func lateStarts(random *rand.Rand) func(fleettest.Call, string) fleettest.Fault {
-	source := rand.New(rand.NewPCG(random.Uint64(), 1)) // calls of one moment are in no order
+// delayStarts delays a third of the starts by up to 3.2 s, without an answer to the caller.
+func delayStarts(random *rand.Rand) func(fleettest.Call, string) fleettest.Fault {
+	source := rand.New(rand.NewPCG(random.Uint64(), 1)) // own source, since the order of concurrent calls varies
 	return func(call fleettest.Call, _ string) fleettest.Fault {
 		if call == fleettest.CallStart && source.IntN(3) == 0 {
 			return fleettest.Fault{Late: time.Duration(200+source.IntN(3000)) * time.Millisecond}
@@ -289,22 +290,22 @@
 	}
 }
 
-// No job has nothing running for 3 s while its account holds under half of its quota and the
-// workers have room twice over.
-func TestNoJobStandsStillBesideRoomAndQuota(t *testing.T) {
-	const orders = 300
-	inRounds(t, orders, func(t *testing.T, seed uint64) {
-		inCell(t, 12, func(c *cell) { c.watchedOrders(rand.New(rand.NewPCG(seed, 10))) })
+// No job is without running tasks for 3 s while its account uses less than half of its quota and
+// the workers have twice the needed capacity.
+func TestNoJobStalls(t *testing.T) {
+	const sequences = 300
+	forSeeds(t, sequences, func(t *testing.T, seed uint64) {
+		inCell(t, 12, func(c *cell) { c.runStallCheck(rand.New(rand.NewPCG(seed, 10))) })
 	})
 }
 
-func (c *cell) watchedOrders(random *rand.Rand) {
-	a := c.accounts()
+func (c *cell) runStallCheck(random *rand.Rand) {
+	a := c.withAccounts()
 	names := []string{"a", "b"}
 	for _, name := range names {
-		a.set(account.Terms{Name: name, Weight: 1, Quota: quotaOf(resource.MilliCPU(16_000 + random.IntN(40_000)))})
+		a.setTerms(account.Terms{Name: name, Weight: 1, Quota: cpuQuota(resource.MilliCPU(16_000 + random.IntN(40_000)))})
 	}
-	watch := &stillness{accounts: a, jobs: map[string]idleJob{}}
+	detector := &stallDetector{accountCell: a, jobs: map[string]watchedJob{}}
 	time.Sleep(500 * time.Millisecond)
 	for i := range 30 {
 		name, id := names[random.IntN(len(names))], fmt.Sprintf("job-%d", i)
@@ -314,37 +315,37 @@
 		err := a.submit(name, id, queue, request, time.Duration(200+random.IntN(2500))*time.Millisecond)
 		var over *scheduler.QuotaError
 		if err == nil {
-			watch.jobs[id] = idleJob{account: name, request: request}
+			detector.jobs[id] = watchedJob{account: name, request: request}
 		} else if !errors.As(err, &over) {
 			c.t.Errorf("job %s: %v", id, err)
 		}
-		watch.over(time.Duration(random.IntN(400)) * time.Millisecond)
+		detector.watchFor(time.Duration(random.IntN(400)) * time.Millisecond)
 	}
-	watch.over(8 * time.Second)
+	detector.watchFor(8 * time.Second)
 }
 
-// stillness looks for jobs that stand still for no reason.
-type stillness struct {
-	*accounts
-	jobs map[string]idleJob
+// stallDetector reports jobs that do not run although quota and capacity allow it.
+type stallDetector struct {
+	*accountCell
+	jobs map[string]watchedJob
 }
 
-type idleJob struct {
-	account string
-	request workload.Request
-	since   time.Time // when it began to stand still beside room and quota; zero: it does not
+type watchedJob struct {
+	account      string
+	request      workload.Request
+	stalledSince time.Time // zero if the job is not stalled
 }
 
-// over looks each 50 ms for a while.
-func (s *stillness) over(span time.Duration) {
+// watchFor checks all jobs every 50 ms for a time span.
+func (s *stallDetector) watchFor(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for id, job := range s.jobs {
-			s.look(id, job)
+			s.check(id, job)
 		}
 	}
 }
 
-func (s *stillness) look(id string, job idleJob) {
+func (s *stallDetector) check(id string, job watchedJob) {
 	state, err := s.owner.Scheduler.State(s.ctx, job.account, id)
 	if err != nil || state.Final() {
 		delete(s.jobs, id)
@@ -352,18 +353,18 @@
 	}
 	all := job.request.Steps[0].Need.Times(int64(job.request.Steps[0].Count))
 	quota := resource.Amount(s.terms[job.account].Quota)
-	room := resource.Amount{CPU: 12 * whole.CPU, Memory: 12 * whole.Memory}
-	idle := s.fleet.UsedByJob(id).IsZero() &&
+	capacity := resource.Amount{CPU: 12 * whole.CPU, Memory: 12 * whole.Memory}
+	stalled := s.fleet.UsedByJob(id).IsZero() &&
 		s.fleet.UsedBy(job.account).Times(2).CPU < quota.CPU && s.fleet.UsedBy(job.account).Plus(all).CPU <= quota.CPU &&
-		s.fleet.Used().Plus(all.Times(2)).CPU <= room.CPU && s.fleet.Used().Times(2).CPU < room.CPU
+		s.fleet.Used().Plus(all.Times(2)).CPU <= capacity.CPU && s.fleet.Used().Times(2).CPU < capacity.CPU
 	switch {
-	case !idle:
-		job.since = time.Time{}
-	case job.since.IsZero():
-		job.since = time.Now()
-	case time.Since(job.since) > 3*time.Second:
-		s.t.Errorf("job %s of account %s stands still beside room and quota", id, job.account)
-		job.since = time.Now()
+	case !stalled:
+		job.stalledSince = time.Time{}
+	case job.stalledSince.IsZero():
+		job.stalledSince = time.Now()
+	case time.Since(job.stalledSince) > 3*time.Second:
+		s.t.Errorf("job %s of account %s did not run for 3 s despite free quota and capacity", id, job.account)
+		job.stalledSince = time.Now()
 	}
 	s.jobs[id] = job
 }
--- a/scheduler/withdraw_test.go
+++ b/scheduler/withdraw_test.go
@@ -11,136 +11,135 @@
 	"chutereach/workload"
 )
 
-// told is what a caller is told of a job that was handed in, and when.
-type told struct {
-	err   error
-	after time.Duration
+// submitResult is the result of a Submit call and how long the call took.
+type submitResult struct {
+	err     error
+	elapsed time.Duration
 }
 
-// handIn hands a job in as the test's caller, and tells what became of the call.
-func (c *cell) handIn(o *owner, id string, queue workload.Queue, request workload.Request) <-chan told {
-	answer := make(chan told, 1)
+// submitAsync submits a job and delivers the result of the call on the returned channel.
+func (c *cell) submitAsync(o *owner, id string, queue workload.Queue, request workload.Request) <-chan submitResult {
+	answer := make(chan submitResult, 1)
 	c.know(id, request, work(request.Steps[0].Estimate))
 	record := workload.Record{Request: request, Queue: queue, Accepted: time.Now().UnixMilli()}
-	begun := time.Now()
+	start := time.Now()
 	go func() {
 		err := o.Submit(c.ctx, id, record)
-		answer <- told{err, time.Since(begun)}
+		answer <- submitResult{err, time.Since(start)}
 	}()
 	return answer
 }
 
-// lookup returns a request that must begin at once, and statement one that has time.
-func lookup() workload.Request { return estimated(jobOf(2, 1000), 640*time.Millisecond) }
+// lookupRequest returns a request for a short step without slack.
+func lookupRequest() workload.Request { return withEstimate(jobOf(2, 1000), 640*time.Millisecond) }
 
-func statement() workload.Request { return estimated(jobOf(4, 1000), 3400*time.Millisecond) }
+// statementRequest returns a request for a longer step with slack.
+func statementRequest() workload.Request { return withEstimate(jobOf(4, 1000), 3400*time.Millisecond) }
 
-func estimated(r workload.Request, estimate time.Duration) workload.Request {
+func withEstimate(r workload.Request, estimate time.Duration) workload.Request {
 	r.Steps[0].Estimate = estimate
 	return r
 }
 
-// wantNotTaken fails the test unless a caller was told within a time that its job was not taken.
-func wantNotTaken(t *testing.T, what string, got told, within time.Duration) {
+// wantRejected fails the test unless a job was rejected as overload within a time limit.
+func wantRejected(t *testing.T, what string, got submitResult, limit time.Duration) {
 	t.Helper()
 	var overloaded *scheduler.OverloadedError
 	if !errors.As(got.err, &overloaded) || overloaded.RetryAfter <= 0 {
-		t.Errorf("%s: told %v, want when to come back", what, got.err)
+		t.Errorf("%s: got %v, want OverloadedError with RetryAfter", what, got.err)
 	}
-	if got.after > within {
-		t.Errorf("%s: told after %v, want %v at most", what, got.after, within)
+	if got.elapsed > limit {
+		t.Errorf("%s: rejected after %v, want at most %v", what, got.elapsed, limit)
 	}
 }
 
-// While the store is down, what has not been sent to it and can no longer be in time is given
-// back: its caller is told that it was not taken, which is true, and it may come again. What
-// has time is kept, and runs when the store is back.
-func TestHopelessJobsAreGivenBackInAnOutage(t *testing.T) {
+// While the store is down, jobs that were not sent to it and can no longer meet their deadline are
+// rejected, and may be submitted again. Jobs with slack are kept and run once the store is back.
+func TestUnsentJobsRejectedDuringOutage(t *testing.T) {
 	inCell(t, 8, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Refuse: true} })
-		time.Sleep(300 * time.Millisecond) // the transaction under way is the owner's alone
-		first := c.handIn(o, "lookup", lookups, lookup())
-		again := c.handIn(o, "lookup", lookups, lookup())
-		late := c.handIn(o, "statement", statements, statement())
-		wantNotTaken(t, "a lookup", <-first, 700*time.Millisecond)
-		wantNotTaken(t, "the same lookup, handed in twice", <-again, 700*time.Millisecond)
+		time.Sleep(300 * time.Millisecond) // the pending transaction then holds only the owner's row
+		first := c.submitAsync(o, "lookup", lookups, lookupRequest())
+		again := c.submitAsync(o, "lookup", lookups, lookupRequest())
+		late := c.submitAsync(o, "statement", statements, statementRequest())
+		wantRejected(t, "a lookup", <-first, 700*time.Millisecond)
+		wantRejected(t, "the same lookup, submitted twice", <-again, 700*time.Millisecond)
 		wantError[*scheduler.UnconfirmedError](t, "a statement", (<-late).err)
 		if _, err := o.State(c.ctx, "lookup"); err == nil {
-			t.Error("a job that was given back has a state")
+			t.Error("State of a rejected job: got no error, want one")
 		}
 		time.Sleep(2 * time.Second)
 		o.caller.SetFault(nil)
 		c.await(o, "statement", workload.Completed, 8*time.Second)
-		if got := c.fleet.Starts(); got != statement().Steps[0].Count {
-			t.Errorf("%d starts, want those of the statement only", got)
+		if got := c.fleet.Starts(); got != statementRequest().Steps[0].Count {
+			t.Errorf("%d attempts started, want the %d of the statement", got, statementRequest().Steps[0].Count)
 		}
-		if got := <-c.handIn(o, "lookup", lookups, lookup()); got.err != nil {
-			t.Errorf("handed in again after the outage: %v", got.err)
+		if got := <-c.submitAsync(o, "lookup", lookups, lookupRequest()); got.err != nil {
+			t.Errorf("submitting the lookup again after the outage: %v", got.err)
 		}
 		c.await(o, "lookup", workload.Completed, 2*time.Second)
 	})
 }
 
-// A job that a transaction holds whose answer is lost may have been taken: it is never given
-// back, and runs once it turns out to be in the store.
-func TestWhatMayBeInTheStoreIsNotGivenBack(t *testing.T) {
+// A job in a transaction whose response was lost may be stored: it is not rejected, and runs once
+// it is found in the store.
+func TestSentJobNotRejected(t *testing.T) {
 	inCell(t, 8, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Mute: write, Silent: !write} })
-		answer := c.handIn(o, "lookup", lookups, lookup())
+		answer := c.submitAsync(o, "lookup", lookups, lookupRequest())
 		wantError[*scheduler.UnconfirmedError](t, "a lookup that was sent", (<-answer).err)
 		o.caller.SetFault(nil)
 		c.await(o, "lookup", workload.Completed, 5*time.Second)
 	})
 }
 
-// Outages of any length, at any moment of many arrivals: what was told not to have been taken
-// never runs, and all else does.
-func TestNotTakenIsTrueInOutages(t *testing.T) {
+// A job that was rejected during a store outage never runs, and all other jobs complete.
+func TestRejectedJobsDoNotRun(t *testing.T) {
 	for _, outage := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 		for _, fault := range []memory.Fault{{Refuse: true}, {Silent: true}, {Mute: true}} {
 			t.Run(fmt.Sprintf("%v %+v", outage, fault), func(t *testing.T) {
-				inCell(t, 12, func(c *cell) { playOutage(c, outage, fault) })
+				inCell(t, 12, func(c *cell) { runOutage(c, outage, fault) })
 			})
 		}
 	}
 }
 
-func playOutage(c *cell, outage time.Duration, fault memory.Fault) {
+func runOutage(c *cell, outage time.Duration, fault memory.Fault) {
 	o := c.rule()
 	time.Sleep(time.Second)
-	answers := map[string]<-chan told{}
-	hand := func(id string) {
+	answers := map[string]<-chan submitResult{}
+	submit := func(id string) {
 		if len(answers)%3 == 0 {
-			answers[id] = c.handIn(o, id, statements, statement())
+			answers[id] = c.submitAsync(o, id, statements, statementRequest())
 			return
 		}
-		answers[id] = c.handIn(o, id, lookups, lookup())
+		answers[id] = c.submitAsync(o, id, lookups, lookupRequest())
 	}
-	begun := time.Now()
+	start := time.Now()
 	for i := range 60 {
-		if since := time.Since(begun); since > 200*time.Millisecond && since < 200*time.Millisecond+outage {
+		if since := time.Since(start); since > 200*time.Millisecond && since < 200*time.Millisecond+outage {
 			o.caller.SetFault(func(bool) memory.Fault { return fault })
 		} else {
 			o.caller.SetFault(nil)
 		}
-		hand(fmt.Sprintf("job-%02d", i))
+		submit(fmt.Sprintf("job-%02d", i))
 		time.Sleep(25 * time.Millisecond)
 	}
 	time.Sleep(outage)
 	o.caller.SetFault(nil)
-	taken := 0
+	accepted := 0
 	for id, answer := range answers {
 		var overloaded *scheduler.OverloadedError
 		if got := <-answer; !errors.As(got.err, &overloaded) {
-			taken++
+			accepted++
 			c.await(o, id, workload.Completed, 40*time.Second)
 		} else if _, err := o.State(c.ctx, id); err == nil || c.fleet.Began(id) {
-			c.t.Errorf("job %s is there or has begun, and its caller was told that it was not taken", id)
+			c.t.Errorf("job %s was rejected but is known or has started (State error %v, started %v)", id, err, c.fleet.Began(id))
 		}
 	}
-	c.t.Logf("%d of %d jobs were taken", taken, len(answers))
+	c.t.Logf("%d of %d jobs were accepted", accepted, len(answers))
 }
