--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -17,9 +17,9 @@
 	"chutereach/workload"
 )
 
-// advisedStep returns a scheduler with 1,100 workers, of which each has used as used says,
-// a look at them, and a step of three tasks for which nothing was asked yet.
-func advisedStep(t testing.TB, used func(i int) resource.Amount) (*Scheduler, *pass, candidate) {
+// newAdvisedStep returns a scheduler with 1,100 workers whose usage is given by used, a dispatch
+// pass over them, and a step of three tasks without any advice.
+func newAdvisedStep(t testing.TB, used func(i int) resource.Amount) (*Scheduler, *pass, candidate) {
 	t.Helper()
 	s := newBenchScheduler(t)
 	now := time.Now()
@@ -40,72 +40,73 @@
 	return s, p, candidate{step: st, tasks: st.waiting(), allowed: math.MaxInt, urgency: urgency.Verdict{Rank: urgency.InTime, Pressed: true}, deadline: j.deadline}
 }
 
-func assertNamed(t *testing.T, named []*worker, least, most int, fits func(*worker) bool) {
+func assertQueried(t *testing.T, workers []*worker, least, most int, fits func(*worker) bool) {
 	t.Helper()
-	if len(named) < least || len(named) > most {
-		t.Errorf("%d workers are named, want %d to %d", len(named), least, most)
+	if len(workers) < least || len(workers) > most {
+		t.Errorf("%d workers queried, want %d to %d", len(workers), least, most)
 	}
-	for _, w := range named {
+	for _, w := range workers {
 		if !fits(w) {
-			t.Errorf("worker %s with %v free is named", w.info.ID, w.free())
+			t.Errorf("worker %s with %v free is queried, want it excluded", w.info.ID, w.free())
 		}
 	}
 }
 
-func TestAdviceIsAskedForWorkersWithRoom(t *testing.T) {
+// Only workers with enough free capacity for a task are queried.
+func TestAdviceQueryWorkers(t *testing.T) {
 	anyWorker := func(*worker) bool { return true }
-	t.Run("all are idle", func(t *testing.T) {
-		s, p, c := advisedStep(t, func(int) resource.Amount { return resource.Amount{} })
-		assertNamed(t, s.question(p, c), adviceLeast, adviceLeast, anyWorker)
+	t.Run("all idle", func(t *testing.T) {
+		s, p, c := newAdvisedStep(t, func(int) resource.Amount { return resource.Amount{} })
+		assertQueried(t, s.question(p, c), adviceLeast, adviceLeast, anyWorker)
 	})
-	t.Run("some are idle", func(t *testing.T) {
-		s, p, c := advisedStep(t, func(i int) resource.Amount {
+	t.Run("some idle", func(t *testing.T) {
+		s, p, c := newAdvisedStep(t, func(i int) resource.Amount {
 			if i%10 == 0 {
 				return resource.Amount{}
 			}
 			return resource.Amount{CPU: 10_000}
 		})
-		assertNamed(t, s.question(p, c), adviceLeast, adviceLeast, func(w *worker) bool { return w.used.IsZero() })
+		assertQueried(t, s.question(p, c), adviceLeast, adviceLeast, func(w *worker) bool { return w.used.IsZero() })
 	})
-	t.Run("few have room", func(t *testing.T) {
-		s, p, c := advisedStep(t, func(i int) resource.Amount {
+	t.Run("few with capacity", func(t *testing.T) {
+		s, p, c := newAdvisedStep(t, func(i int) resource.Amount {
 			if i < 4 {
 				return resource.Amount{CPU: 13_000}
 			}
 			return resource.Amount{CPU: 15_000}
 		})
-		assertNamed(t, s.question(p, c), 4, 4, func(w *worker) bool { return w.free().CPU >= 2500 })
+		assertQueried(t, s.question(p, c), 4, 4, func(w *worker) bool { return w.free().CPU >= 2500 })
 	})
-	t.Run("none has room", func(t *testing.T) {
-		s, p, c := advisedStep(t, func(int) resource.Amount { return resource.Amount{CPU: 15_000} })
-		assertNamed(t, s.question(p, c), 0, 0, anyWorker)
+	t.Run("none with capacity", func(t *testing.T) {
+		s, p, c := newAdvisedStep(t, func(int) resource.Amount { return resource.Amount{CPU: 15_000} })
+		assertQueried(t, s.question(p, c), 0, 0, anyWorker)
 	})
-	t.Run("those without memory are passed over", func(t *testing.T) {
-		s, p, c := advisedStep(t, func(i int) resource.Amount {
+	t.Run("workers without free memory are skipped", func(t *testing.T) {
+		s, p, c := newAdvisedStep(t, func(i int) resource.Amount {
 			if i < 500 {
 				return resource.Amount{Memory: 64 << 30}
 			}
 			return resource.Amount{CPU: 4000}
 		})
 		c.step.spec.Need.Memory = 1 << 30
-		assertNamed(t, s.question(p, c), adviceLeast, adviceLeast, func(w *worker) bool { return w.used.Memory == 0 })
+		assertQueried(t, s.question(p, c), adviceLeast, adviceLeast, func(w *worker) bool { return w.used.Memory == 0 })
 	})
 }
 
-// A costly call that would renew one ticket names all others that have run out too, and fresh
-// workers, as long as they add little to it. A cheap one does not: it is soon made again.
-func TestCallsAreFilledUp(t *testing.T) {
+// An expensive advice call is extended to other expired tickets and to workers not queried yet.
+// A cheap call is not.
+func TestAdviceCallsFilledUp(t *testing.T) {
 	cases := []struct {
-		name             string
-		policy           workload.AdvicePolicy
-		least, renewable int // named, and how many of them are known
+		name           string
+		policy         workload.AdvicePolicy
+		least, expired int // minimum of queried workers, and those with an expired ticket
 	}{
-		{"costly", workload.AdvicePolicy{Decision: 169 * time.Millisecond, Each: 2340 * time.Microsecond, Valid: 2 * time.Second}, 80, 20},
+		{"expensive", workload.AdvicePolicy{Decision: 169 * time.Millisecond, Each: 2340 * time.Microsecond, Valid: 2 * time.Second}, 80, 20},
 		{"cheap", workload.AdvicePolicy{Decision: 9 * time.Millisecond, Each: 130 * time.Microsecond, Valid: 2 * time.Second}, 1, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			_, p, c := advisedStep(t, func(int) resource.Amount { return resource.Amount{CPU: 8000} })
+			_, p, c := newAdvisedStep(t, func(int) resource.Amount { return resource.Amount{CPU: 8000} })
 			c.step.job.record.Queue.Advice = test.policy
 			pool := p.pools["s"]
 			tickets := map[string]string{}
@@ -113,20 +114,20 @@
 				tickets[w.info.ID] = "old"
 			}
 			c.step.advice.take(pool[:20], fleet.Advice{Tickets: tickets}, p.now.Add(-time.Second))
-			named := p.fillUp(c.step, pool[:1])
-			known := 0
-			for _, w := range named {
+			queried := p.fillUp(c.step, pool[:1])
+			expired := 0
+			for _, w := range queried {
 				if c.step.advice.at[w] != nil {
-					known++
+					expired++
 				}
 			}
-			if len(named) < test.least || len(named) > adviceCall || known != test.renewable {
-				t.Errorf("%d are named, %d of them known; want %d at least, and %d", len(named), known, test.least, test.renewable)
+			if len(queried) < test.least || len(queried) > adviceCall || expired != test.expired {
+				t.Errorf("%d workers queried, %d with an expired ticket; want at least %d and at most %d, and %d", len(queried), expired, test.least, adviceCall, test.expired)
 			}
 			seen := map[*worker]bool{}
-			for _, w := range named {
+			for _, w := range queried {
 				if seen[w] {
-					t.Errorf("worker %s is named twice", w.info.ID)
+					t.Errorf("worker %s is queried twice", w.info.ID)
 				}
 				seen[w] = true
 			}
@@ -134,13 +135,13 @@
 	}
 }
 
-// silentAdvisor keeps the calls that come to it and answers none.
-type silentAdvisor struct {
+// hangingAdvisor records calls and does not answer until their context ends.
+type hangingAdvisor struct {
 	mu    sync.Mutex
 	calls [][]string
 }
 
-func (a *silentAdvisor) Advise(ctx context.Context, _ string, workers []string) (fleet.Advice, error) {
+func (a *hangingAdvisor) Advise(ctx context.Context, _ string, workers []string) (fleet.Advice, error) {
 	a.mu.Lock()
 	a.calls = append(a.calls, workers)
 	a.mu.Unlock()
@@ -148,13 +149,13 @@
 	return fleet.Advice{}, &fleet.AdvisorError{Cause: ctx.Err()}
 }
 
-// A gang's tickets are all shown at one moment, so what it needs is asked for at once.
-func TestAWideGangAsksInSeveralCallsAtOnce(t *testing.T) {
+// A gang needs all of its tickets at the same time, so the calls for a wide gang run concurrently.
+func TestWideGangAdviceCallsConcurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, p, c := advisedStep(t, func(int) resource.Amount { return resource.Amount{CPU: 8000} })
+		s, p, c := newAdvisedStep(t, func(int) resource.Amount { return resource.Amount{CPU: 8000} })
 		ctx, cancel := context.WithCancel(t.Context())
 		s.ctx = ctx
-		var advisor silentAdvisor
+		var advisor hangingAdvisor
 		lanes := []Lane{{Node: "self", Self: true, Advisor: &advisor}}
 		for i := range 40 {
 			lanes = append(lanes, Lane{Node: fmt.Sprintf("node-%d", i), Advisor: &advisor})
@@ -170,25 +171,24 @@
 		s.askAdvice(p, c, checkAgain)
 		s.mu.Unlock()
 		synctest.Wait()
-		room := 0
-		for _, named := range advisor.calls {
-			if len(named) > adviceCall {
-				t.Errorf("a call names %d workers, want %d at most", len(named), adviceCall)
+		capacity := 0
+		for _, workers := range advisor.calls {
+			if len(workers) > adviceCall {
+				t.Errorf("advice call queries %d workers, want at most %d", len(workers), adviceCall)
 			}
-			room += 3 * len(named) // tasks that an idle half of a worker takes
+			capacity += 3 * len(workers) // three tasks fit into the free half of a worker
 		}
-		if want := int(float64(st.spec.Count) / firstHealthy); room < want {
-			t.Errorf("%d calls name room for %d tasks, want %d", len(advisor.calls), room, want)
+		if want := int(float64(st.spec.Count) / firstHealthy); capacity < want {
+			t.Errorf("%d advice calls query capacity for %d tasks, want %d", len(advisor.calls), capacity, want)
 		}
 		cancel()
 		s.running.Close()
 	})
 }
 
-// BenchmarkQuestion finds the workers to ask about for one step among 1,100 that have no
-// room. It took 74 µs when each of them was looked at, and takes 21 µs.
-func BenchmarkQuestion(b *testing.B) {
-	s, p, c := advisedStep(b, func(int) resource.Amount { return resource.Amount{CPU: 15_000} })
+// BenchmarkAdviceQuery measures the selection of workers to query for one step among 1,100 full ones.
+func BenchmarkAdviceQuery(b *testing.B) {
+	s, p, c := newAdvisedStep(b, func(int) resource.Amount { return resource.Amount{CPU: 15_000} })
 	b.ReportAllocs()
 	for b.Loop() {
 		s.question(p, c)
