--- a/scheduler/evacuated_test.go
+++ b/scheduler/evacuated_test.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// evacuationBound is how long after an evacuation starts may begin in the data hall.
+	// evacuationBound is how long tasks may still start in a data hall after its evacuation.
 	evacuationBound = 5 * time.Second
-	// soonPlaced is within which work waits for no data hall that is taken back.
-	soonPlaced  = 3 * time.Second
-	ordersTable = "op"
-	evacuateRow = "evacuate/"
-	cellHalls   = 3
-	everyHall   = -1
-	unknownHall = "elsewhere" // of which no worker is
+	// placementTimeout bounds the placement of a job while some data hall is available.
+	placementTimeout = 3 * time.Second
+	operatorTable    = "op"
+	evacuationPrefix = "evacuate/"
+	hallCount        = 3
+	allHalls         = -1
+	unknownHall      = "elsewhere" // has no workers
 )
 
 // hallOf returns the data hall of a worker.
-func hallOf(worker int) string { return fmt.Sprintf("hall-%d", worker%cellHalls) }
+func hallOf(worker int) string { return fmt.Sprintf("hall-%d", worker%hallCount) }
 
-// followEvacuations reads the operator's rows as a node does, through a caller of the store.
+// followEvacuations follows the operator's rows through a store client, as a node does.
 func (c *cell) followEvacuations(ctx context.Context, caller *memory.Caller) func() evacuation.View {
 	var newest evacuation.Newest
 	var halls []string
 	reach := rowstore.Reach{Current: func(version uint64, asOf clock.Instant) {
 		newest.Offer(evacuation.NewView(halls, version, asOf))
 	}, Wait: func() time.Duration { return c.evacuateWithin / 3 }}
-	go rowstore.Follow(ctx, caller, ordersTable, "", func(rows map[string]rowstore.Row) {
+	go rowstore.Follow(ctx, caller, operatorTable, "", func(rows map[string]rowstore.Row) {
 		halls = nil
 		for name := range rows {
-			if hall, found := strings.CutPrefix(name, evacuateRow); found {
+			if hall, found := strings.CutPrefix(name, evacuationPrefix); found {
 				halls = append(halls, hall)
 			}
 		}
@@ -51,28 +51,28 @@
 	return newest.Current
 }
 
-// evacuate has the operator evacuate a data hall, or every one.
-func (c *cell) evacuate(hall int) { c.eachHall(hall, c.evacuateOne) }
+// evacuate evacuates a data hall, or all of them.
+func (c *cell) evacuate(hall int) { c.forHalls(hall, c.evacuateOne) }
 
-// readmit has the operator take an evacuation back.
-func (c *cell) readmit(hall int) { c.eachHall(hall, c.readmitOne) }
+// readmit cancels the evacuation of a data hall, or of all of them.
+func (c *cell) readmit(hall int) { c.forHalls(hall, c.readmitOne) }
 
-func (c *cell) eachHall(hall int, do func(string)) {
-	if hall != everyHall {
+func (c *cell) forHalls(hall int, do func(string)) {
+	if hall != allHalls {
 		do(hallOf(hall))
 		return
 	}
-	for i := range cellHalls {
+	for i := range hallCount {
 		do(hallOf(i))
 	}
 }
 
-func evacuateKey(hall string) rowstore.Key {
-	return rowstore.Key{Table: ordersTable, Name: evacuateRow + hall}
+func evacuationKey(hall string) rowstore.Key {
+	return rowstore.Key{Table: operatorTable, Name: evacuationPrefix + hall}
 }
 
 func (c *cell) evacuateOne(hall string) {
-	put := rowstore.Put{Key: evacuateKey(hall), Value: []byte("{}")}
+	put := rowstore.Put{Key: evacuationKey(hall), Value: []byte("{}")}
 	if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
 		c.t.Error(err)
 	}
@@ -81,13 +81,13 @@
 
 func (c *cell) readmitOne(hall string) {
 	c.fleet.Readmit(hall)
-	if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Deletes: []rowstore.Key{evacuateKey(hall)}}); err != nil {
+	if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Deletes: []rowstore.Key{evacuationKey(hall)}}); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// wantRunsIn fails the test unless a job's first task runs in one of some data halls within a time.
-func (c *cell) wantRunsIn(job string, within time.Duration, halls ...string) {
+// wantFirstTaskIn fails the test unless a job's first task runs in one of halls within a time limit.
+func (c *cell) wantFirstTaskIn(job string, within time.Duration, halls ...string) {
 	c.t.Helper()
 	task := workload.TaskID{Job: job}.String()
 	host := ""
@@ -106,8 +106,8 @@
 	c.t.Errorf("job %s runs on %q after %v, want it in %v", job, host, within, halls)
 }
 
-// inHalls runs a test in a cell whose owners hear of evacuations.
-func inHalls(t *testing.T, test func(*cell)) {
+// inEvacuationCell runs a test in a cell whose owners follow evacuations.
+func inEvacuationCell(t *testing.T, test func(*cell)) {
 	t.Helper()
 	inCell(t, 6, func(c *cell) {
 		c.evacuateWithin, c.lease = evacuationBound, shortLease
@@ -115,12 +115,12 @@
 	})
 }
 
-// pastBound lets the bound of an evacuation pass.
-func pastBound() { time.Sleep(evacuationBound + 100*time.Millisecond) }
+// waitPastBound waits until evacuationBound has passed.
+func waitPastBound() { time.Sleep(evacuationBound + 100*time.Millisecond) }
 
-// An evacuated data hall gets nothing new, whatever kind of work it is, and what runs there goes
-// on. Work that has room elsewhere goes there at once.
-func TestAnEvacuatedHallGetsNothingNew(t *testing.T) {
+// No task of any kind starts in an evacuated data hall, and the tasks running there continue. New
+// jobs are placed in other halls at once.
+func TestNoStartsInEvacuatedHall(t *testing.T) {
 	gang := jobOf(4, 8000)
 	gang.Steps[0].Gang = true
 	lasting := jobOf(2, 1000)
@@ -130,14 +130,14 @@
 	near := jobOf(1, 1000)
 	near.Steps[0].NearRack = "r1-0"
 	for name, request := range map[string]workload.Request{
-		"single tasks": jobOf(3, 1000), "a gang": gang, "tasks that last": lasting, "tasks of one rack": rack, "work near its data": near,
+		"single tasks": jobOf(3, 1000), "a gang": gang, "long-running tasks": lasting, "tasks of one rack": rack, "task near its data": near,
 	} {
 		t.Run(name, func(t *testing.T) {
-			takes := time.Second
+			duration := time.Second
 			if request.Steps[0].Lasting {
-				takes = time.Hour
+				duration = time.Hour
 			}
-			inHalls(t, func(c *cell) {
+			inEvacuationCell(t, func(c *cell) {
 				o := c.rule()
 				time.Sleep(time.Second)
 				before := jobOf(6, 8000)
@@ -147,47 +147,47 @@
 				time.Sleep(time.Second)
 				running := c.fleet.Running()
 				c.evacuate(0)
-				pastBound()
+				waitPastBound()
 				if now := c.fleet.Running(); now != running {
-					t.Errorf("%d of %d attempts run on in the evacuation", now, running)
+					t.Errorf("%d attempts are running after the evacuation, want %d", now, running)
 				}
-				if err := c.submit(o, "job", request, work(takes)); err != nil {
+				if err := c.submit(o, "job", request, work(duration)); err != nil {
 					t.Fatal(err)
 				}
-				c.wantRunsIn("job", soonPlaced, hallOf(1), hallOf(2))
+				c.wantFirstTaskIn("job", placementTimeout, hallOf(1), hallOf(2))
 				c.await(o, "before", workload.Completed, 30*time.Second)
 			})
 		})
 	}
 }
 
-// With every data hall evacuated work waits, and begins as soon as one is taken back.
-func TestWorkWaitsWhileEveryHallIsEvacuated(t *testing.T) {
-	inHalls(t, func(c *cell) {
+// A job waits while all data halls are evacuated, and starts as soon as one is readmitted.
+func TestAllHallsEvacuated(t *testing.T) {
+	inEvacuationCell(t, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
-		c.evacuate(everyHall)
-		pastBound()
+		c.evacuate(allHalls)
+		waitPastBound()
 		if err := c.submit(o, "job", jobOf(2, 1000), work(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * evacuationBound)
 		if c.fleet.Began("job") {
-			t.Error("the job began in an evacuated data hall")
+			t.Error("job started in an evacuated data hall")
 		}
 		c.readmit(2)
-		c.wantRunsIn("job", time.Second, hallOf(2))
+		c.wantFirstTaskIn("job", time.Second, hallOf(2))
 		c.await(o, "job", workload.Completed, 5*time.Second)
 	})
 }
 
-// The evacuation of a data hall of which no worker is keeps nothing back.
-func TestTheEvacuationOfAnUnknownHall(t *testing.T) {
-	inHalls(t, func(c *cell) {
+// The evacuation of a data hall without workers does not delay any job.
+func TestUnknownHallEvacuated(t *testing.T) {
+	inEvacuationCell(t, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
 		c.evacuateOne(unknownHall)
-		pastBound()
+		waitPastBound()
 		if err := c.submit(o, "job", jobOf(6, 8000), work(time.Second)); err != nil {
 			t.Fatal(err)
 		}
@@ -195,10 +195,9 @@
 	})
 }
 
-// A start that was granted before an evacuation, and whose worker does not answer, is not sent
-// again once the hall is evacuated.
-func TestAGrantFromBeforeAnEvacuation(t *testing.T) {
-	inHalls(t, func(c *cell) {
+// No start is sent if its data hall is evacuated while the grant is being written.
+func TestGrantWrittenBeforeEvacuation(t *testing.T) {
+	inEvacuationCell(t, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
 		c.evacuate(1)
@@ -213,41 +212,41 @@
 		go c.submit(o, "job", jobOf(2, 1000), work(time.Second))
 		time.Sleep(400 * time.Millisecond) // its grant is being written
 		c.evacuate(0)
-		c.fleet.Evacuate(hallOf(0), 100*time.Millisecond) // the owner hears of it within a round trip
+		c.fleet.Evacuate(hallOf(0), 100*time.Millisecond) // the owner learns of it within a round trip
 		time.Sleep(3 * time.Second)
 		o.caller.SetFault(nil)
 		if c.fleet.Began("job") {
-			t.Error("a grant of before the evacuation was started after it")
+			t.Error("task granted before the evacuation started after it")
 		}
 		c.readmit(1)
 		c.await(o, "job", workload.Completed, 5*time.Second)
 	})
 }
 
-// An owner that does not hear from the store what is evacuated starts nothing by a stale view, though
-// its transactions go on, and goes on as soon as it hears.
-func TestAStaleViewStartsNothing(t *testing.T) {
-	inHalls(t, func(c *cell) {
+// An owner that can write to the store but not read evacuations starts no tasks once its view is
+// stale, and resumes when reads succeed again.
+func TestNoStartsWithStaleView(t *testing.T) {
+	inEvacuationCell(t, func(c *cell) {
 		o := c.rule()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
 		time.Sleep(100 * time.Millisecond)
 		c.evacuate(0)
-		pastBound()
+		waitPastBound()
 		if err := c.submit(o, "job", jobOf(6, 8000), work(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(4 * time.Second)
 		if c.fleet.Began("job") {
-			t.Error("the job began by a view that was older than the bound")
+			t.Error("job started while the view of evacuations was older than the bound")
 		}
 		o.caller.SetFault(nil)
-		c.wantRunsIn("job", soonPlaced, hallOf(1), hallOf(2))
+		c.wantFirstTaskIn("job", placementTimeout, hallOf(1), hallOf(2))
 		c.await(o, "job", workload.Completed, 10*time.Second)
 	})
 }
 
-// hallEvent is one thing that happens to the data halls or to their owner.
+// hallEvent is an operator action or a fault in a randomized test.
 type hallEvent struct {
 	Kind  hallEventKind
 	Hall  int
@@ -257,50 +256,49 @@
 type hallEventKind int
 
 const (
-	evacuateHall hallEventKind = iota
-	readmitHall
-	evacuateAndReadmit
-	evacuateAll
-	readmitAll
+	hallEvacuated hallEventKind = iota
+	hallReadmitted
+	hallReadmittedBriefly
+	allHallsEvacuated
+	allHallsReadmitted
 	ownerKilled
-	ownerStands
-	ordersLate
-	answersLost
-	callsHeal
-	readsSilent
-	storeSilent
-	workerMoves
-	nothingHappens
-	hallEventKinds
+	ownerPaused
+	workerCallsDelayed
+	workerAnswersLost
+	faultsCleared
+	storeReadsLost
+	storeCallsLost
+	workerMoved
+	noHallEvent
+	hallEventKindCount
 )
 
-// Evacuations in any order, with owners that are killed or stand still, starts and answers that
-// are lost or late, a store that is silent, wholly or for readers, and workers that move to
-// another data hall: nothing begins in an evacuated data hall after the bound, and every job ends
-// once the halls are taken back.
-func TestEvacuationsInAnyOrder(t *testing.T) {
+// Under random sequences of evacuations, takeovers, paused owners, late or lost worker calls, store
+// outages and moved workers, no task starts in an evacuated data hall after the bound, and every
+// job ends once all halls are readmitted.
+func TestEvacuationsRandomOrder(t *testing.T) {
 	events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) hallEvent {
 		return hallEvent{
-			Kind:  hallEventKind(rapid.IntRange(0, int(hallEventKinds)-1).Draw(t, "kind")),
-			Hall:  rapid.IntRange(0, cellHalls-1).Draw(t, "hall"),
+			Kind:  hallEventKind(rapid.IntRange(0, int(hallEventKindCount)-1).Draw(t, "kind")),
+			Hall:  rapid.IntRange(0, hallCount-1).Draw(t, "hall"),
 			Pause: rapid.IntRange(50, 4000).Draw(t, "pause"),
 		}
 	}), 5, 25)
 	proptest.Check(t, func(rt *rapid.T) {
 		list := events.Draw(rt, "events")
-		inHalls(t, func(c *cell) {
+		inEvacuationCell(t, func(c *cell) {
 			c.t.Cleanup(func() {
 				if c.t.Failed() {
-					c.t.Logf("the events: %#v", list)
+					c.t.Logf("events: %#v", list)
 				}
 			})
-			c.playHalls(list)
+			c.runHallEvents(list)
 		})
 	})
 }
 
-// playHalls hands in a job before each event, and awaits all of them with every hall taken back.
-func (c *cell) playHalls(events []hallEvent) {
+// runHallEvents submits a job before each event, then readmits all halls and awaits the jobs.
+func (c *cell) runHallEvents(events []hallEvent) {
 	o := c.rule()
 	time.Sleep(500 * time.Millisecond)
 	wants := map[string]workload.State{}
@@ -310,18 +308,18 @@
 		wants[name] = want
 		c.know(name, request, plan)
 		o = c.submitSomehow(o, name, request)
-		o = c.happenToHalls(o, e)
+		o = c.applyHallEvent(o, e)
 		time.Sleep(time.Duration(e.Pause/2) * time.Millisecond)
 	}
 	c.fleet.SetFault(nil)
 	o.caller.SetFault(nil)
-	c.readmit(everyHall)
+	c.readmit(allHalls)
 	for name, want := range wants {
 		c.awaitUnlessEnded(o, name, want)
 	}
 }
 
-// moveWorker ends a worker of a data hall, and another comes with its room in the next hall.
+// moveWorker crashes a worker of a data hall and adds one of the same capacity in the next hall.
 func (c *cell) moveWorker(hall int) {
 	for _, w := range c.fleet.List() {
 		if w.Zone != hallOf(hall) {
@@ -335,45 +333,45 @@
 	}
 }
 
-// happenToHalls brings an event about, and returns who owns the shard after it.
-func (c *cell) happenToHalls(o *owner, e hallEvent) *owner {
+// applyHallEvent applies an event and returns the owner of the shard after it.
+func (c *cell) applyHallEvent(o *owner, e hallEvent) *owner {
 	pause := time.Duration(e.Pause) * time.Millisecond
 	switch e.Kind {
-	case evacuateHall:
+	case hallEvacuated:
 		c.evacuate(e.Hall)
-	case readmitHall:
+	case hallReadmitted:
 		c.readmit(e.Hall)
-	case evacuateAndReadmit:
+	case hallReadmittedBriefly:
 		c.evacuate(e.Hall)
 		c.readmit(e.Hall)
 		time.Sleep(pause / 20)
 		c.evacuate(e.Hall)
-	case evacuateAll:
-		c.evacuate(everyHall)
-	case readmitAll:
-		c.readmit(everyHall)
+	case allHallsEvacuated:
+		c.evacuate(allHalls)
+	case allHallsReadmitted:
+		c.readmit(allHalls)
 	case ownerKilled:
 		o.kill()
 		time.Sleep(pause / 2)
 		return c.rule()
-	case ownerStands: // for less than the time that is left when the view is stale
+	case ownerPaused: // shorter than the time left when the view becomes stale
 		o.client.pause()
 		time.Sleep(min(pause/2, 400*time.Millisecond))
 		o.client.resume()
-	case ordersLate:
+	case workerCallsDelayed:
 		c.everyThird(fleettest.Fault{Late: pause})
-	case answersLost:
+	case workerAnswersLost:
 		c.everyThird(fleettest.Fault{Mute: true})
-	case callsHeal:
+	case faultsCleared:
 		c.fleet.SetFault(nil)
 		o.caller.SetFault(nil)
-	case readsSilent:
+	case storeReadsLost:
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
-	case storeSilent:
+	case storeCallsLost:
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 		time.Sleep(pause)
 		o.caller.SetFault(nil)
-	case workerMoves:
+	case workerMoved:
 		c.moveWorker(e.Hall)
 	}
 	return o
