--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -11,10 +11,10 @@
 	"chutereach/workload"
 )
 
-// half and whole are the capacities between which tests resize a worker.
+// halfCapacity and fullCapacity are the capacities between which tests resize a worker.
 var (
-	half  = resource.Amount{CPU: 8_000, Memory: 32 * gigabyte}
-	whole = resource.Amount{CPU: 16_000, Memory: 64 * gigabyte}
+	halfCapacity = resource.Amount{CPU: 8_000, Memory: 32 * gigabyte}
+	fullCapacity = resource.Amount{CPU: 16_000, Memory: 64 * gigabyte}
 )
 
 // A worker that shrinks while grants are being written starts no more tasks than it now has
@@ -27,7 +27,7 @@
 		if err := c.submitWithoutTimeout(o, "job", jobOf(2, 8_000)); err != nil {
 			t.Fatal(err)
 		}
-		c.fleet.Resize("w-00", half)
+		c.fleet.Resize("w-00", halfCapacity)
 		time.Sleep(3 * time.Second)
 		o.caller.SetFault(nil)
 		c.await(o, "job", workload.Completed, 20*time.Second)
@@ -37,7 +37,7 @@
 // Added capacity of a worker is used as soon as discovery reports it.
 func TestWorkerGrows(t *testing.T) {
 	inCell(t, 1, func(c *cell) {
-		c.fleet.Resize("w-00", half)
+		c.fleet.Resize("w-00", halfCapacity)
 		o := c.rule()
 		time.Sleep(2 * time.Second)
 		if err := c.submit(o, "job", jobOf(2, 8_000), work(5*time.Second)); err != nil {
@@ -45,7 +45,7 @@
 		}
 		c.awaitStarts(1, time.Second)
 		time.Sleep(time.Second)
-		c.fleet.Resize("w-00", whole)
+		c.fleet.Resize("w-00", fullCapacity)
 		c.awaitStarts(2, time.Second)
 	})
 }
@@ -78,7 +78,7 @@
 	for i := range 12 {
 		switch random.IntN(6) {
 		case 0, 1:
-			size := []resource.Amount{half, whole, {CPU: 4_000, Memory: 16 * gigabyte}, {CPU: 24_000, Memory: 64 * gigabyte}}[random.IntN(4)]
+			size := []resource.Amount{halfCapacity, fullCapacity, {CPU: 4_000, Memory: 16 * gigabyte}, {CPU: 24_000, Memory: 64 * gigabyte}}[random.IntN(4)]
 			c.fleet.Resize(fmt.Sprintf("w-%02d", random.IntN(3)), size)
 		case 2:
 			o.kill()
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -221,7 +221,7 @@
 	c.fleet.SetFault(nil)
 	a.owner.caller.SetFault(nil)
 	for i := range 6 {
-		c.fleet.Resize(fmt.Sprintf("w-%02d", i), whole)
+		c.fleet.Resize(fmt.Sprintf("w-%02d", i), fullCapacity)
 	}
 	for _, name := range names {
 		a.setTerms(account.Terms{Name: name, Weight: 1, Quota: cpuQuota(64_000)})
@@ -262,7 +262,7 @@
 			c.fleet.Restart(worker)
 		}
 	case 4:
-		c.fleet.Resize(worker, []resource.Amount{half, whole}[random.IntN(2)])
+		c.fleet.Resize(worker, []resource.Amount{halfCapacity, fullCapacity}[random.IntN(2)])
 	case 5:
 		c.fleet.SetFault(delayStarts(random))
 	case 6:
@@ -353,7 +353,7 @@
 	}
 	all := job.request.Steps[0].Need.Times(int64(job.request.Steps[0].Count))
 	quota := resource.Amount(s.terms[job.account].Quota)
-	capacity := resource.Amount{CPU: 12 * whole.CPU, Memory: 12 * whole.Memory}
+	capacity := resource.Amount{CPU: 12 * fullCapacity.CPU, Memory: 12 * fullCapacity.Memory}
 	stalled := s.fleet.UsedByJob(id).IsZero() &&
 		s.fleet.UsedBy(job.account).Times(2).CPU < quota.CPU && s.fleet.UsedBy(job.account).Plus(all).CPU <= quota.CPU &&
 		s.fleet.Used().Plus(all.Times(2)).CPU <= capacity.CPU && s.fleet.Used().Times(2).CPU < capacity.CPU
