--- a/workload/crashes.go
+++ b/workload/crashes.go
@@ -7,95 +7,95 @@
 )
 
 const (
-	// mostSoon is at how many workers that ended as soon as a task had begun there the task
-	// is given up. The users' platform allows that once two workers have crashed under it.
-	mostSoon = 2
-	// mostLost is at how many workers that ended under a task in any way its attempts are
-	// limited, and lastAttempts how many more it then has: one fewer than the three that
-	// would break the users' rule.
-	mostLost     = 3
-	lastAttempts = 2
+	// earlyCrashLimit is the number of early worker crashes after which a task is given up.
+	// The platform contract permits this once two workers have crashed under the task.
+	earlyCrashLimit = 2
+	// crashLimit is the number of worker crashes of any kind after which a task has only
+	// attemptsAfterLimit attempts left. The platform contract forbids a third.
+	crashLimit         = 3
+	attemptsAfterLimit = 2
 )
 
-// Crashes is what must last of the workers that have ended under a task. A task that
-// crashes its workers lists no end that says so; without this count it is started for ever,
-// and each start takes a worker with all that runs there.
+// Crashes is the persistent record of workers that ended while running a task. A worker that
+// crashes cannot report the outcome of its tasks, so without this record a task that crashes
+// its workers would be restarted indefinitely.
 type Crashes struct {
-	// Workers have ended while an attempt was there, and Soon of them as soon as it had
-	// begun, with no other worker ending at that moment.
+	// Workers is the number of workers that ended while they held an attempt. Soon is the
+	// number of those that ended alone and immediately after the attempt had started.
 	Workers int `cbor:"6,keyasint,omitempty"`
 	Soon    int `cbor:"7,keyasint,omitempty"`
-	// LastAttempt is the number of the last attempt that the task may have; 0: no bound yet.
+	// LastAttempt is the number of the last permitted attempt, or 0 if there is no limit.
 	LastAttempt int `cbor:"8,keyasint,omitempty"`
-	// Open are workers that an attempt was lost with and of which it is not known yet
-	// whether they have ended or are only out of reach.
+	// Open lists lost workers that may have crashed or may only be unreachable.
 	Open []LostWorker `cbor:"9,keyasint,omitempty"`
-	// Suspect is whether the task may be one that crashes its workers: no attempt has run
-	// on since one was lost that was not known to have done so.
+	// Suspect reports whether the task may be crashing its workers: an attempt was lost that
+	// is not known to have run past its start, and no attempt has survived since.
 	Suspect bool `cbor:"10,keyasint,omitempty"`
 }
 
-// Evidence is what is known of an attempt that was lost with its worker.
+// Evidence classifies the loss of an attempt together with its worker.
 type Evidence int
 
 const (
-	// RanOn says that the attempt had run for a while.
+	// RanOn means that the attempt had run for some time before the worker was lost.
 	RanOn Evidence = iota
-	// Unclear says that it may have run or not, or that other workers went with this one.
+	// Unclear means that the attempt may not have started, or that other workers were lost
+	// at the same time.
 	Unclear
-	// AtOnce says that the worker went as soon as the attempt had begun, and went alone.
+	// AtOnce means that only this worker was lost, immediately after the attempt had started.
 	AtOnce
 )
 
-// LostWorker is a life of a worker that did not answer until its lease had run out.
+// LostWorker identifies a worker incarnation that stopped responding until its lease expired.
 type LostWorker struct {
 	ID   string `cbor:"1,keyasint"`
 	Born int64  `cbor:"3,keyasint,omitempty"`
-	// Soon is whether it would count as one that ended as soon as the attempt had begun.
-	Soon bool `cbor:"2,keyasint,omitempty"`
+	// Early reports whether a crash of this worker would count as an early crash.
+	Early bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Life returns which life was lost.
+// Life returns the incarnation that was lost.
 func (l LostWorker) Life() fleet.Life { return fleet.Life{ID: l.ID, Born: l.Born} }
 
-// WithLost returns c after an attempt was lost with a worker whose fate is not known.
+// WithLost returns c with the loss of an attempt whose worker may have crashed.
 func (c Crashes) WithLost(worker fleet.Life, evidence Evidence) Crashes {
-	c.Open = append(c.without(worker), LostWorker{worker.ID, worker.Born, evidence == AtOnce})
+	c.Open = append(c.unresolvedExcept(worker), LostWorker{worker.ID, worker.Born, evidence == AtOnce})
 	c.Suspect = c.Suspect || evidence != RanOn
 	return c
 }
 
-// WithSettled returns c after an attempt has run on.
+// WithSettled returns c after an attempt has survived its start.
 func (c Crashes) WithSettled() Crashes {
 	c.Suspect = false
 	return c
 }
 
-// WithFound returns c after a worker has answered again: it had not ended.
+// WithFound returns c after a lost worker has responded again, which rules out a crash.
 func (c Crashes) WithFound(worker fleet.Life) Crashes {
-	c.Open = c.without(worker)
+	c.Open = c.unresolvedExcept(worker)
 	return c
 }
 
-// WithEnded returns c after an open worker has turned out to have ended. attempt is the
-// task's last attempt so far. A worker that is not open changes nothing.
+// WithEnded returns c after a lost worker is confirmed to have ended. attempt is the task's
+// latest attempt. A worker that is not recorded as lost leaves c unchanged.
 func (c Crashes) WithEnded(worker fleet.Life, attempt int) Crashes {
 	i := slices.IndexFunc(c.Open, func(lost LostWorker) bool { return lost.Life() == worker })
 	if i < 0 {
 		return c
 	}
 	c.Workers++
-	if c.Open[i].Soon {
+	if c.Open[i].Early {
 		c.Soon++
 	}
-	if c.Workers == mostLost {
-		c.LastAttempt = attempt + lastAttempts
+	if c.Workers == crashLimit {
+		c.LastAttempt = attempt + attemptsAfterLimit
 	}
-	c.Open = c.without(worker)
+	c.Open = c.unresolvedExcept(worker)
 	return c
 }
 
-// WithSpareAttempt returns c after an attempt that no worker has begun.
+// WithSpareAttempt returns c after an attempt that no worker has started. Such an attempt does
+// not count towards the limit.
 func (c Crashes) WithSpareAttempt() Crashes {
 	if c.LastAttempt > 0 {
 		c.LastAttempt++
@@ -103,8 +103,8 @@
 	return c
 }
 
-// without returns the open workers but one.
-func (c Crashes) without(worker fleet.Life) []LostWorker {
+// unresolvedExcept returns c.Open without the given worker.
+func (c Crashes) unresolvedExcept(worker fleet.Life) []LostWorker {
 	var rest []LostWorker
 	for _, lost := range c.Open {
 		if lost.Life() != worker {
@@ -114,30 +114,30 @@
 	return rest
 }
 
-// Held reports whether the task must wait until the fate of its open workers is known: if
-// they have ended, it is to be given up, or its attempts are numbered.
+// Held reports whether the task must not start until its lost workers are known to have
+// crashed or not, because their crashes would reach a limit.
 func (c Crashes) Held() bool {
 	if len(c.Open) == 0 {
 		return false
 	}
-	return c.Soon+c.openSoon() >= mostSoon || c.Workers+len(c.Open) >= mostLost
+	return c.Soon+c.unresolvedEarly() >= earlyCrashLimit || c.Workers+len(c.Open) >= crashLimit
 }
 
-func (c Crashes) openSoon() int {
+func (c Crashes) unresolvedEarly() int {
 	count := 0
 	for _, lost := range c.Open {
-		if lost.Soon {
+		if lost.Early {
 			count++
 		}
 	}
 	return count
 }
 
-// GivenUp reports whether a task is to be given up after an attempt that was not done.
+// GivenUp reports whether a task is given up after an attempt that did not complete.
 func (c Crashes) GivenUp(attempt int) bool {
-	return c.Soon >= mostSoon || c.LastAttempt > 0 && attempt >= c.LastAttempt
+	return c.Soon >= earlyCrashLimit || c.LastAttempt > 0 && attempt >= c.LastAttempt
 }
 
-// Numbered reports whether the task has only a few attempts left. They are not to be ended
-// for the sake of other tasks.
+// Numbered reports whether the task has a limited number of attempts left. Such attempts must
+// not be preempted.
 func (c Crashes) Numbered() bool { return c.LastAttempt > 0 }
--- a/workload/doc.go
+++ b/workload/doc.go
@@ -1,4 +1,5 @@
-// Package workload knows jobs that callers hand in: a request of dependent steps
-// of tasks, the queue it came by, and how far it has got. Requests and queues
-// are values; Progress is what a successor needs to go on with a job.
+// Package workload defines the jobs that clients submit: the request with its steps and
+// their dependencies, the policy of the queue, and the progress of the job. Requests and
+// queues are immutable. Progress is the persistent state from which another node resumes a
+// job.
 package workload
--- a/workload/progress.go
+++ b/workload/progress.go
@@ -7,10 +7,9 @@
 	"chutereach/codec"
 )
 
-// State is what a caller is told of a job.
+// State is the state of a job as reported to clients.
 type State string
 
-// The states of a job.
 const (
 	Queued    State = "queued"
 	Running   State = "running"
@@ -19,46 +18,47 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether the state stays.
+// Final reports whether s is a terminal state.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// TaskProgress is what must last of a task that has begun and is not done.
+// TaskProgress is the persistent state of a task that has started and is not done.
 type TaskProgress struct {
 	Index      int    `cbor:"1,keyasint"`
-	Attempt    int    `cbor:"2,keyasint,omitempty"` // the highest that was granted
+	Attempt    int    `cbor:"2,keyasint,omitempty"` // number of the latest granted attempt
 	Failures   int    `cbor:"3,keyasint,omitempty"`
-	Worker     string `cbor:"4,keyasint,omitempty"` // where the attempt may be; empty: nowhere
+	Worker     string `cbor:"4,keyasint,omitempty"` // worker that may hold the attempt, or empty
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	// Born tells the worker's life from others under its id; 0: not known.
+	// Born distinguishes incarnations of a worker that reuse its ID; 0 if unknown.
 	Born int64 `cbor:"11,keyasint,omitempty"`
-	// Address is where the worker is called, so that a successor need not wait for discovery. The
-	// first task of the step on the worker has it.
+	// Address is the address of the worker, which lets a new owner contact it before discovery
+	// has listed it. It is set only on the first task of the step on each worker.
 	Address string `cbor:"12,keyasint,omitempty"`
 	Crashes
 }
 
-// StepProgress is what must last of a step.
+// StepProgress is the persistent state of a step.
 type StepProgress struct {
 	Round int            `cbor:"1,keyasint,omitempty"`
 	Step  int            `cbor:"2,keyasint,omitempty"`
-	Done  []byte         `cbor:"3,keyasint,omitempty"` // a bit for each task; nil with AllDone
-	All   bool           `cbor:"4,keyasint,omitempty"` // every task is done
+	Done  []byte         `cbor:"3,keyasint,omitempty"` // bit set of completed tasks; nil if all are done
+	All   bool           `cbor:"4,keyasint,omitempty"` // all tasks are done
 	Tasks []TaskProgress `cbor:"5,keyasint,omitempty"`
 }
 
-// Progress is what must last of a job besides its request.
+// Progress is the persistent state of a job apart from its request.
 type Progress struct {
 	State   State          `cbor:"1,keyasint"`
 	Steps   []StepProgress `cbor:"2,keyasint,omitempty"`
-	Begun   bool           `cbor:"3,keyasint,omitempty"` // a task has been started
-	FinalAt int64          `cbor:"4,keyasint,omitempty"` // ms since 1970, when it became final
-	// Generation counts the changes of the job; of two rows the higher is later.
+	Begun   bool           `cbor:"3,keyasint,omitempty"` // at least one task has been started
+	FinalAt int64          `cbor:"4,keyasint,omitempty"` // when the state became final, in Unix milliseconds
+	// Generation increases with each change to the job; the row with the highest value is current.
 	Generation uint64 `cbor:"6,keyasint,omitempty"`
-	// Account names whose job it is, once it is final: its record goes then.
+	// Account is the name of the owning account. It is set once the state is final, because the
+	// Record is deleted then.
 	Account string `cbor:"7,keyasint,omitempty"`
 }
 
-// SetBit marks a task in a bit set and returns it.
+// SetBit returns bits with the bit at index set, grown if necessary.
 func SetBit(bits []byte, index int) []byte {
 	for len(bits) <= index/8 {
 		bits = append(bits, 0)
@@ -67,35 +67,37 @@
 	return bits
 }
 
-// HasBit reports whether a task is marked.
+// HasBit reports whether the bit at index is set.
 func HasBit(bits []byte, index int) bool {
 	return index/8 < len(bits) && bits[index/8]&(1<<(index%8)) != 0
 }
 
-// Record is the row of an accepted job: what was asked, by which queue, when.
+// Record is the stored row of an accepted job.
 type Record struct {
 	Request  Request `cbor:"1,keyasint"`
 	Queue    Queue   `cbor:"2,keyasint"`
-	Accepted int64   `cbor:"3,keyasint"` // ms since 1970
-	// Account is whose job it is, on the terms of when it was accepted; they hold on if a
-	// later configuration has no such account. Empty on a public route.
+	Accepted int64   `cbor:"3,keyasint"` // in Unix milliseconds
+	// Account holds the terms of the owning account at the time of acceptance. They remain in
+	// force if a later configuration removes the account. Empty for a job without an account.
 	Account account.Terms `cbor:"4,keyasint,omitempty"`
 }
 
-// RowError says that a row of a job cannot be read.
+// RowError reports a stored row of a job that cannot be decoded.
 type RowError struct {
 	Job   string
 	Cause error
 }
 
-func (e *RowError) Error() string { return fmt.Sprintf("the row of job %s: %v", e.Job, e.Cause) }
+func (e *RowError) Error() string {
+	return fmt.Sprintf("invalid stored row of job %s: %v", e.Job, e.Cause)
+}
 
 func (e *RowError) Unwrap() error { return e.Cause }
 
-// Encode writes a record as a row.
+// Encode returns the row encoding of r.
 func (r Record) Encode() []byte { return codec.MustMarshal(r) }
 
-// DecodeRecord reads a record's row.
+// DecodeRecord decodes and validates the record of a job. It returns a RowError if either fails.
 func DecodeRecord(job string, value []byte) (Record, error) {
 	var record Record
 	if err := codec.Unmarshal(value, &record); err != nil {
@@ -107,10 +109,10 @@
 	return record, nil
 }
 
-// Encode writes progress as a row.
+// Encode returns the row encoding of p.
 func (p Progress) Encode() []byte { return codec.MustMarshal(p) }
 
-// DecodeProgress reads a row of progress.
+// DecodeProgress decodes the progress of a job. It returns a RowError on failure.
 func DecodeProgress(job string, value []byte) (Progress, error) {
 	var progress Progress
 	if err := codec.Unmarshal(value, &progress); err != nil {
--- a/workload/queue.go
+++ b/workload/queue.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// AdvicePolicy says what advice costs: Decision for a call, Each for a worker
-// named in it. Zero means that the queue needs no advice.
+// AdvicePolicy describes the placement advice service of a queue: a call takes Decision plus
+// Each per worker named in it, and its tickets expire after Valid. The zero value means that
+// the queue does not use advice.
 type AdvicePolicy struct {
 	Decision time.Duration `cbor:"1,keyasint,omitempty"`
 	Each     time.Duration `cbor:"2,keyasint,omitempty"`
 	Valid    time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// Needed reports whether tasks of the queue need a ticket.
+// Needed reports whether tasks of the queue need a ticket to start.
 func (p AdvicePolicy) Needed() bool { return p.Valid > 0 }
 
-// Cost returns how long a call about n workers takes.
+// Cost returns the expected duration of a call that names the given number of workers.
 func (p AdvicePolicy) Cost(workers int) time.Duration {
 	return p.Decision + time.Duration(workers)*p.Each
 }
 
-// Queue is the policy of the jobs that came by one route.
+// Queue is the scheduling policy for the jobs submitted on one route.
 type Queue struct {
 	Name     string        `cbor:"1,keyasint"`
-	Service  string        `cbor:"2,keyasint"` // whose workers run the tasks
-	Priority int           `cbor:"3,keyasint"` // 0 goes first
-	Attempts int           `cbor:"4,keyasint"` // failures after which a task has failed for good
-	Stretch  float64       `cbor:"5,keyasint"` // objective as a multiple of the longest chain of work
-	Target   time.Duration `cbor:"6,keyasint"` // and this much more
+	Service  string        `cbor:"2,keyasint"` // service whose workers run the tasks
+	Priority int           `cbor:"3,keyasint"` // 0 is the highest
+	Attempts int           `cbor:"4,keyasint"` // number of failures after which a task is not retried
+	Stretch  float64       `cbor:"5,keyasint"` // critical path multiplier of the objective
+	Target   time.Duration `cbor:"6,keyasint"` // added to the stretched critical path
 	Advice   AdvicePolicy  `cbor:"7,keyasint,omitempty"`
 }
 
-// Objective returns within which time a request should be completed.
+// Objective returns the target duration from submission to completion of a request.
 func (q Queue) Objective(r Request) time.Duration {
-	chain := time.Duration(float64(r.Chain(nil)) * max(1, q.Stretch))
-	advice := time.Duration(len(r.Steps)) * q.Advice.Cost(adviceWorkers)
-	return chain + q.Target + advice
+	criticalPath := time.Duration(float64(r.Chain(nil)) * max(1, q.Stretch))
+	advice := time.Duration(len(r.Steps)) * q.Advice.Cost(objectiveAdviceWorkers)
+	return criticalPath + q.Target + advice
 }
 
-// Bounds of RetryAfter.
 const (
-	soonestRetry = time.Second
-	latestRetry  = 3 * time.Second
-	retryShare   = 4
+	minRetryAfter         = time.Second
+	maxRetryAfter         = 3 * time.Second
+	retryObjectiveDivisor = 4
 )
 
-// RetryAfter returns when a caller whose request was refused should come again:
-// a share of its objective, so that what is urgent comes soon and what may wait
-// does not use its tries up.
+// RetryAfter returns the delay after which a client should retry a rejected request. It is
+// proportional to the objective, so that urgent requests are retried early and others do not
+// exhaust their retries.
 func (q Queue) RetryAfter(r Request) time.Duration {
-	return min(latestRetry, max(soonestRetry, (q.Objective(r)/retryShare).Round(time.Second)))
+	return min(maxRetryAfter, max(minRetryAfter, (q.Objective(r)/retryObjectiveDivisor).Round(time.Second)))
 }
 
-// adviceWorkers is the number of workers on which an objective counts advice.
-const adviceWorkers = 30
+// objectiveAdviceWorkers is the number of workers per advice call that Objective assumes.
+const objectiveAdviceWorkers = 30
--- a/workload/task.go
+++ b/workload/task.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// TaskID names a task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job   string
 	Round int
@@ -14,22 +14,25 @@
 	Index int
 }
 
-// String writes the id as workers know it.
+// String returns the ID in the form JOB.ROUND.STEP.INDEX that is sent to workers.
 func (t TaskID) String() string {
 	return t.StepName() + "." + strconv.Itoa(t.Index)
 }
 
-// StepName writes the name of the task's step.
+// StepName returns the name of the step in the form JOB.ROUND.STEP.
 func (t TaskID) StepName() string {
 	return t.Job + "." + strconv.Itoa(t.Round) + "." + strconv.Itoa(t.Step)
 }
 
-// TaskIDError says that a text names no task.
+// TaskIDError reports a string that is not a valid task ID.
 type TaskIDError struct{ Text string }
 
-func (e *TaskIDError) Error() string { return fmt.Sprintf("%q names no task", e.Text) }
+func (e *TaskIDError) Error() string {
+	return fmt.Sprintf("invalid task ID %q: want JOB.ROUND.STEP.INDEX", e.Text)
+}
 
-// ParseTaskID reads what String wrote.
+// ParseTaskID parses the form returned by TaskID.String. It returns a TaskIDError if text is
+// malformed.
 func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 || parts[0] == "" {
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -12,7 +12,7 @@
 	"chutereach/workload"
 )
 
-func TestTaskIDsAreReadBack(t *testing.T) {
+func TestTaskIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := workload.TaskID{
 			Job:   rapid.StringMatching("[0-9a-f]{16}").Draw(t, "job"),
@@ -22,77 +22,77 @@
 		}
 		got, err := workload.ParseTaskID(id.String())
 		if err != nil || got != id {
-			t.Fatalf("%v, %v, want %v", got, err, id)
+			t.Fatalf("ParseTaskID() = %v, %v, want %v", got, err, id)
 		}
 	})
 }
 
-func TestTextsThatNameNoTask(t *testing.T) {
+func TestParseTaskIDRejectsInvalid(t *testing.T) {
 	for _, text := range []string{"", "a", "a.0.0", "a.0.0.x", "a.0.0.-1", ".0.0.0", "a.0.0.0.0", "a.0.0.99999999999999999999"} {
-		var bad *workload.TaskIDError
-		if _, err := workload.ParseTaskID(text); !errors.As(err, &bad) {
-			t.Errorf("%q: %v", text, err)
+		var invalid *workload.TaskIDError
+		if _, err := workload.ParseTaskID(text); !errors.As(err, &invalid) {
+			t.Errorf("ParseTaskID(%q): got error %v, want a TaskIDError", text, err)
 		}
 	}
 }
 
-func FuzzTaskID(f *testing.F) {
+func FuzzParseTaskID(f *testing.F) {
 	f.Add("5c0e7a21d94b36f8.0.1.17")
 	f.Add("...")
 	f.Fuzz(func(t *testing.T, text string) {
 		id, err := workload.ParseTaskID(text)
 		if err == nil && (id.Round < 0 || id.Step < 0 || id.Index < 0) {
-			t.Errorf("%q gave %+v", text, id)
+			t.Errorf("ParseTaskID(%q) = %+v, want no negative numbers", text, id)
 		}
 	})
 }
 
-func FuzzRows(f *testing.F) {
+func FuzzDecodeRows(f *testing.F) {
 	f.Add(workload.Record{Request: workload.Request{Spec: "s", Steps: []workload.Step{{Count: 1}}}}.Encode())
 	f.Add(workload.Progress{State: workload.Queued, Steps: []workload.StepProgress{{Done: []byte{1}}}}.Encode())
 	f.Fuzz(func(t *testing.T, value []byte) {
 		workload.DecodeProgress("job", value)
 		record, err := workload.DecodeRecord("job", value)
 		if err == nil && record.Request.Check() != nil {
-			t.Error("a record with a bad request was read")
+			t.Error("DecodeRecord accepted an invalid request")
 		}
 	})
 }
 
-func TestRequestsAreChecked(t *testing.T) {
+func TestRequestCheck(t *testing.T) {
 	good := workload.Step{Count: 1, Need: resource.Amount{CPU: 1}}
 	cases := []struct {
 		name    string
 		request workload.Request
 		field   string
 	}{
-		{"good", workload.Request{Steps: []workload.Step{good}}, ""},
+		{"valid", workload.Request{Steps: []workload.Step{good}}, ""},
 		{"no steps", workload.Request{}, "steps"},
 		{"too many steps", workload.Request{Steps: make([]workload.Step, 65)}, "steps"},
-		{"a long spec", workload.Request{Spec: string(make([]byte, 4001)), Steps: []workload.Step{good}}, "spec"},
-		{"no tasks", workload.Request{Steps: []workload.Step{{}}}, "step 0: count"},
+		{"spec too long", workload.Request{Spec: string(make([]byte, 4001)), Steps: []workload.Step{good}}, "spec"},
+		{"step without tasks", workload.Request{Steps: []workload.Step{{}}}, "step 0: count"},
 		{"too many tasks", workload.Request{Steps: []workload.Step{{Count: 4097}}}, "steps"},
-		{"a negative need", workload.Request{Steps: []workload.Step{{Count: 1, Need: resource.Amount{CPU: -1}}}}, "step 0: need"},
-		{"a later step", workload.Request{Steps: []workload.Step{{Count: 1, After: []int{1}}, good}}, "step 0: after"},
-		{"a negative step", workload.Request{Steps: []workload.Step{{Count: 1, After: []int{-1}}}}, "step 0: after"},
+		{"negative need", workload.Request{Steps: []workload.Step{{Count: 1, Need: resource.Amount{CPU: -1}}}}, "step 0: need"},
+		{"dependency on a later step", workload.Request{Steps: []workload.Step{{Count: 1, After: []int{1}}, good}}, "step 0: after"},
+		{"dependency on a negative index", workload.Request{Steps: []workload.Step{{Count: 1, After: []int{-1}}}}, "step 0: after"},
 		{"too many rounds", workload.Request{Steps: []workload.Step{good}, Rounds: 1 << 20}, "rounds"},
-		{"a negative interval", workload.Request{Steps: []workload.Step{good}, Interval: -1}, "interval"},
+		{"negative interval", workload.Request{Steps: []workload.Step{good}, Interval: -1}, "interval"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			err := test.request.Check()
-			var bad *workload.InvalidError
+			var invalid *workload.InvalidError
 			switch {
 			case test.field == "" && err != nil:
 				t.Error(err)
-			case test.field != "" && (!errors.As(err, &bad) || bad.Field != test.field):
-				t.Errorf("got %v, want an error of %q", err, test.field)
+			case test.field != "" && (!errors.As(err, &invalid) || invalid.Field != test.field):
+				t.Errorf("Check() = %v, want an InvalidError for field %q", err, test.field)
 			}
 		})
 	}
 }
 
-func TestChain(t *testing.T) {
+func TestRequestCriticalPath(t *testing.T) {
 	request := workload.Request{Steps: []workload.Step{
 		{Count: 1, Estimate: 2 * time.Second},
 		{Count: 1, Estimate: 5 * time.Second},
@@ -111,37 +111,37 @@
 	}
 	for _, test := range cases {
 		if got := request.Chain(func(i int) bool { return test.done[i] }); got != test.want {
-			t.Errorf("with %v done: %v, want %v", test.done, got, test.want)
+			t.Errorf("critical path with steps %v done = %v, want %v", test.done, got, test.want)
 		}
 	}
 }
 
-func TestRowsAreReadBack(t *testing.T) {
+func TestProgressRoundTrip(t *testing.T) {
 	progress := workload.Progress{State: workload.Queued, Begun: true, Steps: []workload.StepProgress{
 		{Step: 0, All: true},
 		{Step: 1, Done: workload.SetBit(nil, 9), Tasks: []workload.TaskProgress{{
 			Index: 3, Attempt: 2, Failures: 1, Worker: "w", Checkpoint: "c",
-			Crashes: workload.Crashes{Workers: 3, Soon: 1, LastAttempt: 5, Open: []workload.LostWorker{{ID: "v", Soon: true}}, Suspect: true},
+			Crashes: workload.Crashes{Workers: 3, Soon: 1, LastAttempt: 5, Open: []workload.LostWorker{{ID: "v", Early: true}}, Suspect: true},
 		}}},
 	}}
 	got, err := workload.DecodeProgress("job", progress.Encode())
 	if err != nil || !reflect.DeepEqual(got, progress) {
-		t.Errorf("%+v, %v, want %+v", got, err, progress)
+		t.Errorf("DecodeProgress() = %+v, %v, want %+v", got, err, progress)
 	}
 	bits := got.Steps[1].Done
 	if !workload.HasBit(bits, 9) || workload.HasBit(bits, 8) || workload.HasBit(bits, 100) {
-		t.Errorf("bits: %v", bits)
+		t.Errorf("bits = %v, want bit 9 set, bits 8 and 100 clear", bits)
 	}
 }
 
-func TestRetryAfterFollowsTheObjective(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	cases := []struct {
 		estimate, want time.Duration
 	}{{0, time.Second}, {600 * time.Millisecond, time.Second}, {4 * time.Second, 2 * time.Second}, {time.Minute, 3 * time.Second}}
 	for _, test := range cases {
 		request := workload.Request{Steps: []workload.Step{{Count: 1, Estimate: test.estimate}}}
 		if got := (workload.Queue{Stretch: 2}).RetryAfter(request); got != test.want {
-			t.Errorf("estimate %v: %v, want %v", test.estimate, got, test.want)
+			t.Errorf("estimate %v: RetryAfter() = %v, want %v", test.estimate, got, test.want)
 		}
 	}
 }
