--- a/placement/choose.go
+++ b/placement/choose.go
@@ -8,61 +8,62 @@
 	"chutereach/resource"
 )
 
-// Ask is a task that wants a worker.
+// Ask describes the resources and constraints of a task to place.
 type Ask struct {
 	Need      resource.Amount
-	Tolerates []string          // taints that the task puts up with
+	Tolerates []string          // taints that the task tolerates
 	Affinity  map[string]string // labels that the worker must have
 	Avoid     map[string]string // labels that the worker must not have
-	// Crowd counts the task's siblings on a worker and in its rack; nil where
-	// there are none to keep apart.
+	// Crowd returns the number of tasks of the same job on a worker and in its
+	// rack. If it is nil, tasks of the job are not spread.
 	Crowd func(w provider.Worker) (onWorker, inRack int)
 }
 
-// Scorer is a policy of choosing among workers that have room.
+// Scorer ranks workers that have room for a task.
 type Scorer interface {
-	// FullestFirst says from which end the cells are walked.
+	// FullestFirst reports whether the fullest workers are visited first.
 	FullestFirst() bool
-	// Score rates a worker by what would be left free on it, as shares of its
-	// capacity between 0 and 1: the smallest and the largest. More is better.
-	Score(least, most float64) float64
+	// Score rates a worker by the smallest and the largest share of its capacity,
+	// between 0 and 1, that the task would leave free. Higher is better.
+	Score(minShare, maxShare float64) float64
 }
 
-// Waiting spreads tasks, so that the next one finds room wherever it must run.
+// Waiting spreads tasks across workers, so that each worker keeps room for later
+// tasks.
 type Waiting struct{}
 
 // FullestFirst implements Scorer.
 func (Waiting) FullestFirst() bool { return false }
 
-// Score prefers the worker whose scarcest resource is left with the most.
-func (Waiting) Score(least, _ float64) float64 { return least }
+// Score prefers the worker whose scarcest resource has the largest free share.
+func (Waiting) Score(minShare, _ float64) float64 { return minShare }
 
-// Packing fills workers, so that others stay whole for tasks that need it.
+// Packing fills workers one by one, so that others stay empty for large tasks.
 type Packing struct{}
 
 // FullestFirst implements Scorer.
 func (Packing) FullestFirst() bool { return true }
 
-// Score prefers the worker that is left with the least, and evenly so: what is
-// left of one resource is stranded when another has run out.
-func (Packing) Score(least, most float64) float64 { return -least - (most - least) }
+// Score prefers the worker whose largest free share is smallest, which limits the
+// capacity that is stranded when another resource is exhausted.
+func (Packing) Score(minShare, maxShare float64) float64 { return -minShare - (maxShare - minShare) }
 
 const (
-	// candidates is how many workers with room a decision compares.
-	candidates = 12
-	// crowdOnWorker and crowdInRack are what a sibling costs a worker's score;
-	// scores of free room are within one of each other.
-	crowdOnWorker = 8
-	crowdInRack   = 2
+	// maxScored is the maximum number of eligible workers that Choose scores.
+	maxScored = 12
+	// siblingOnWorkerPenalty and siblingInRackPenalty are subtracted from the score
+	// per sibling. Both exceed the range of free-room scores of either scorer.
+	siblingOnWorkerPenalty = 8
+	siblingInRackPenalty   = 2
 )
 
-// Choose returns the worker that s prefers for a task, or false if none has
-// room. Workers with accelerators to spare come last for a task that needs
-// none, whatever s prefers.
-func Choose[S Scorer](x *Index, s S, a Ask) (provider.Worker, bool) {
-	for acc := min(a.Need.Accelerators, accLevels-1); acc < accLevels; acc++ {
-		c := search[S]{scorer: s, ask: &a}
-		c.level(&x.levels[acc])
+// Choose returns the worker that s prefers for a task, or false if no eligible
+// worker has room. Workers with the fewest free accelerators that suffice take
+// precedence over the scorer, to keep accelerators for tasks that need them.
+func Choose[S Scorer](x *Index, s S, request Ask) (provider.Worker, bool) {
+	for acc := min(request.Need.Accelerators, acceleratorLevels-1); acc < acceleratorLevels; acc++ {
+		c := search[S]{scorer: s, request: &request}
+		c.searchLevel(&x.levels[acc])
 		if c.best != nil {
 			return c.best.worker, true
 		}
@@ -70,92 +71,92 @@
 	return provider.Worker{}, false
 }
 
-// search is one decision on one level of accelerators.
+// search is the state of one search within an accelerator level.
 type search[S Scorer] struct {
-	scorer S
-	ask    *Ask
-	seen   int
-	best   *entry
-	score  float64
+	scorer    S
+	request   *Ask
+	scored    int
+	best      *entry
+	bestScore float64
 }
 
-// level walks the rows that can hold the task.
-func (c *search[S]) level(l *level) {
-	able := l.used &^ (1<<bucket(int64(c.ask.Need.CPU), cpuUnit) - 1)
-	for able != 0 && c.seen < candidates {
-		i := c.pick(able)
-		able &^= 1 << i
-		c.row(l.rows[i])
+// searchLevel visits the rows that can hold the task.
+func (c *search[S]) searchLevel(l *level) {
+	eligible := l.used &^ (1<<bucket(int64(c.request.Need.CPU), cpuUnit) - 1)
+	for eligible != 0 && c.scored < maxScored {
+		i := c.nextBucket(eligible)
+		eligible &^= 1 << i
+		c.searchRow(l.rows[i])
 	}
 }
 
-// row walks the cells that can hold the task.
-func (c *search[S]) row(r *row) {
-	able := r.used &^ (1<<bucket(int64(c.ask.Need.Memory), memUnit) - 1)
-	for able != 0 && c.seen < candidates {
-		i := c.pick(able)
-		able &^= 1 << i
-		c.cell(r.cells[i])
+// searchRow visits the cells that can hold the task.
+func (c *search[S]) searchRow(r *row) {
+	eligible := r.used &^ (1<<bucket(int64(c.request.Need.Memory), memUnit) - 1)
+	for eligible != 0 && c.scored < maxScored {
+		i := c.nextBucket(eligible)
+		eligible &^= 1 << i
+		c.searchCell(r.cells[i])
 	}
 }
 
-// pick returns the bucket among able that the scorer walks first.
-func (c *search[S]) pick(able uint64) int {
+// nextBucket returns the bucket in the bit set eligible that is visited first.
+func (c *search[S]) nextBucket(eligible uint64) int {
 	if c.scorer.FullestFirst() {
-		return bits.TrailingZeros64(able)
+		return bits.TrailingZeros64(eligible)
 	}
-	return buckets - 1 - bits.LeadingZeros64(able)
+	return buckets - 1 - bits.LeadingZeros64(eligible)
 }
 
-func (c *search[S]) cell(cell []*entry) {
+func (c *search[S]) searchCell(cell []*entry) {
 	for _, e := range cell {
-		if !c.ask.Need.Fits(e.free) || !c.ask.allows(e.worker) {
+		if !c.request.Need.Fits(e.free) || !c.request.allows(e.worker) {
 			continue
 		}
 		c.compare(e)
-		if c.seen >= candidates {
+		if c.scored >= maxScored {
 			return
 		}
 	}
 }
 
 func (c *search[S]) compare(e *entry) {
-	c.seen++
-	score := c.scorer.Score(leftOver(e.free.Minus(c.ask.Need), e.worker.Capacity))
-	if c.ask.Crowd != nil {
-		onWorker, inRack := c.ask.Crowd(e.worker)
-		score -= float64(onWorker*crowdOnWorker + inRack*crowdInRack)
+	c.scored++
+	score := c.scorer.Score(remainingShares(e.free.Minus(c.request.Need), e.worker.Capacity))
+	if c.request.Crowd != nil {
+		onWorker, inRack := c.request.Crowd(e.worker)
+		score -= float64(onWorker*siblingOnWorkerPenalty + inRack*siblingInRackPenalty)
 	}
-	if c.best == nil || score > c.score {
-		c.best, c.score = e, score
+	if c.best == nil || score > c.bestScore {
+		c.best, c.bestScore = e, score
 	}
 }
 
-// leftOver returns the smallest and the largest share of capacity that is left.
-func leftOver(left, capacity resource.Amount) (least, most float64) {
-	cpu := float64(left.CPU) / float64(max(capacity.CPU, 1))
-	mem := float64(left.Memory) / float64(max(capacity.Memory, 1))
-	least, most = min(cpu, mem), max(cpu, mem)
+// remainingShares returns the smallest and largest share of capacity that remains.
+func remainingShares(remaining, capacity resource.Amount) (minShare, maxShare float64) {
+	cpu := float64(remaining.CPU) / float64(max(capacity.CPU, 1))
+	mem := float64(remaining.Memory) / float64(max(capacity.Memory, 1))
+	minShare, maxShare = min(cpu, mem), max(cpu, mem)
 	if capacity.Accelerators > 0 {
-		acc := float64(left.Accelerators) / float64(capacity.Accelerators)
-		least, most = min(least, acc), max(most, acc)
+		acc := float64(remaining.Accelerators) / float64(capacity.Accelerators)
+		minShare, maxShare = min(minShare, acc), max(maxShare, acc)
 	}
-	return least, most
+	return minShare, maxShare
 }
 
-// allows reports whether the task's rules let it run on w.
-func (a *Ask) allows(w provider.Worker) bool {
+// allows reports whether w satisfies the taint and label constraints.
+func (r *Ask) allows(w provider.Worker) bool {
 	for _, t := range w.Taints {
-		if !slices.Contains(a.Tolerates, t) {
+		if !slices.Contains(r.Tolerates, t) {
 			return false
 		}
 	}
-	for k, v := range a.Affinity {
+	for k, v := range r.Affinity {
 		if w.Labels[k] != v {
 			return false
 		}
 	}
-	for k, v := range a.Avoid {
+	for k, v := range r.Avoid {
 		if w.Labels[k] == v {
 			return false
 		}
@@ -163,12 +164,12 @@
 	return true
 }
 
-// Scan is Choose without the index: it looks at every worker. It is what the
-// index is measured against, and what its tests compare it with.
-func Scan[S Scorer](x *Index, s S, a Ask) (provider.Worker, bool) {
-	c := search[S]{scorer: s, ask: &a}
+// Scan is like Choose but examines every worker. It is the reference for tests
+// and the baseline for benchmarks.
+func Scan[S Scorer](x *Index, s S, request Ask) (provider.Worker, bool) {
+	c := search[S]{scorer: s, request: &request}
 	for _, e := range x.byName {
-		if !e.closed && a.Need.Fits(e.free) && a.allows(e.worker) {
+		if !e.closed && request.Need.Fits(e.free) && request.allows(e.worker) {
 			c.compare(e)
 		}
 	}
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,9 +1,9 @@
-// Package placement chooses the worker for a task, from an index over what is
-// free, so that a decision does not look at every worker.
+// Package placement chooses the worker for a task from an index of free
+// resources, which avoids examining every worker.
 //
-// The index keeps the workers in cells by free accelerators, processors and
-// memory. The bounds of processors and memory grow geometrically, four to each
-// doubling. A decision walks the cells that can hold the task in the order that
-// the scorer prefers, and scores the first few workers that pass its rules.
-// Only the cells on the lower bounds hold workers that turn out too small.
+// The index groups workers into cells by free accelerators, CPU and memory. The
+// bucket bounds for CPU and memory grow geometrically, with four buckets per
+// doubling. Choose visits the cells that can hold the task in the order that the
+// scorer prefers and scores a bounded number of eligible workers. Only cells in
+// the lowest matching buckets can contain workers that are too small.
 package placement
--- a/placement/index.go
+++ b/placement/index.go
@@ -8,76 +8,78 @@
 )
 
 const (
-	// buckets is how many bounds an axis has; a word of bits marks those in use.
+	// buckets is the number of buckets per axis, limited by the 64-bit used masks.
 	buckets = 64
-	// perDoubling is how many buckets an axis has for each doubling.
-	perDoubling = 4
-	cpuUnit     = 250       // thousandths of a processor in the first bucket
-	memUnit     = 256 << 20 // bytes in the first bucket
-	// accLevels bounds the accelerators that are told apart.
-	accLevels = 17
+	// bucketsPerDoubling is the number of buckets between a value and its double.
+	bucketsPerDoubling = 4
+	cpuUnit            = 250       // width of the first bucket in thousandths of a CPU
+	memUnit            = 256 << 20 // width of the first bucket in bytes
+	// acceleratorLevels is the number of levels; the last one holds all workers with
+	// at least acceleratorLevels-1 free accelerators.
+	acceleratorLevels = 17
 )
 
-// bucket returns the last bound that is not above v: bound(bucket(v)) <= v.
+// bucket returns the index of the bucket that contains v, where unit is the width of
+// the first bucket.
 func bucket(v, unit int64) int {
 	n := v / unit
 	if n <= 0 {
 		return 0
 	}
-	if n < perDoubling {
+	if n < bucketsPerDoubling {
 		return int(n)
 	}
 	log := bits.Len64(uint64(n)) - 1
-	sub := int(n>>(log-2)) & (perDoubling - 1)
-	return min((log-1)*perDoubling+sub, buckets-1)
+	sub := int(n>>(log-2)) & (bucketsPerDoubling - 1)
+	return min((log-1)*bucketsPerDoubling+sub, buckets-1)
 }
 
 // entry is a worker in the index.
 type entry struct {
-	worker provider.Worker
-	free   resource.Amount
-	closed bool // takes no new work
-	cell   cellKey
-	at     int // place within the cell
+	worker   provider.Worker
+	free     resource.Amount
+	closed   bool // accepts no new tasks
+	cell     cellKey
+	position int // position within the cell
 }
 
 type cellKey struct{ acc, cpu, mem int8 }
 
-// row is the cells of one level of accelerators and processors.
+// row holds the cells of one CPU bucket within a level, by memory bucket.
 type row struct {
-	used  uint64 // which memory buckets hold workers
+	used  uint64 // bit set of non-empty memory buckets
 	cells [buckets][]*entry
 }
 
-// level is the rows of one number of free accelerators.
+// level holds the rows of one number of free accelerators, by CPU bucket.
 type level struct {
-	used uint64 // which processor buckets hold workers
+	used uint64 // bit set of non-empty CPU buckets
 	rows [buckets]*row
 }
 
-// Index is the workers that can take tasks, by what they have free. It is not
-// safe for concurrent use.
+// Index indexes workers by their free resources. It is not safe for concurrent
+// use.
 type Index struct {
-	levels [accLevels]level
+	levels [acceleratorLevels]level
 	byName map[string]*entry
 }
 
 // NewIndex returns an empty index.
 func NewIndex() *Index { return &Index{byName: map[string]*entry{}} }
 
-// Len returns the number of workers.
+// Len returns the number of workers, including closed ones.
 func (x *Index) Len() int { return len(x.byName) }
 
 func keyOf(free resource.Amount) cellKey {
 	return cellKey{
-		acc: int8(min(max(free.Accelerators, 0), accLevels-1)),
+		acc: int8(min(max(free.Accelerators, 0), acceleratorLevels-1)),
 		cpu: int8(bucket(int64(free.CPU), cpuUnit)),
 		mem: int8(bucket(int64(free.Memory), memUnit)),
 	}
 }
 
-// Set puts a worker, or what it has free, into the index. A closed worker keeps
-// its place but is never chosen.
+// Set adds a worker or updates its entry. A closed worker stays in the index but
+// is never chosen.
 func (x *Index) Set(w provider.Worker, free resource.Amount, closed bool) {
 	e := x.byName[w.Name]
 	if e == nil {
@@ -92,7 +94,7 @@
 	}
 }
 
-// Remove takes a worker out.
+// Remove removes a worker. It does nothing if the worker is unknown.
 func (x *Index) Remove(name string) {
 	e := x.byName[name]
 	if e == nil {
@@ -110,7 +112,7 @@
 		r = &row{}
 		l.rows[k.cpu] = r
 	}
-	e.cell, e.at = k, len(r.cells[k.mem])
+	e.cell, e.position = k, len(r.cells[k.mem])
 	r.cells[k.mem] = append(r.cells[k.mem], e)
 	r.used |= 1 << k.mem
 	l.used |= 1 << k.cpu
@@ -124,7 +126,7 @@
 	r := l.rows[e.cell.cpu]
 	cell := r.cells[e.cell.mem]
 	last := cell[len(cell)-1]
-	cell[e.at], last.at = last, e.at
+	cell[e.position], last.position = last, e.position
 	cell[len(cell)-1] = nil
 	r.cells[e.cell.mem] = cell[:len(cell)-1]
 	if len(cell) > 1 {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// amount draws an amount up to that of a large worker.
+// amount draws an amount up to the capacity of a large worker.
 func amount(t *rapid.T, label string) resource.Amount {
 	return resource.Amount{
 		CPU:          resource.MilliCPU(rapid.Int64Range(0, 64_000).Draw(t, label+" cpu")),
@@ -30,9 +30,9 @@
 	}
 }
 
-// The index finds room exactly when a look at every worker does, whatever was
-// put in, changed and taken out before, and never a worker without room.
-func TestIndexFindsRoomWhenThereIsAny(t *testing.T) {
+// Guards against index corruption after updates and removals: Choose must find a
+// worker exactly when Scan does, and the worker must have room.
+func TestChooseMatchesScan(t *testing.T) {
 	proptest.Check(t, func(t *rapid.T) {
 		x := NewIndex()
 		free := map[string]resource.Amount{}
@@ -50,50 +50,50 @@
 				x.Set(w, free[w.Name], false)
 			}
 		}
-		ask := Ask{Need: amount(t, "need")}
+		request := Ask{Need: amount(t, "need")}
 		for _, s := range []Scorer{Waiting{}, Packing{}} {
-			w, found := Choose(x, s, ask)
-			_, want := Scan(x, s, ask)
+			w, found := Choose(x, s, request)
+			_, want := Scan(x, s, request)
 			if found != want {
-				t.Fatalf("%T: found = %v, a scan says %v", s, found, want)
+				t.Fatalf("%T: Choose found = %v, Scan found = %v", s, found, want)
 			}
-			if found && !ask.Need.Fits(free[w.Name]) {
-				t.Fatalf("%T: %s has %v, %v was asked for", s, w.Name, free[w.Name], ask.Need)
+			if found && !request.Need.Fits(free[w.Name]) {
+				t.Fatalf("%T: chose %s with %v free, need %v", s, w.Name, free[w.Name], request.Need)
 			}
 		}
 	})
 }
 
-func TestRulesAndPreferences(t *testing.T) {
+func TestChooseConstraints(t *testing.T) {
 	x := NewIndex()
-	plain, tainted, fast := worker(1, 16_000, 64<<30, 0), worker(2, 16_000, 64<<30, 0), worker(3, 16_000, 64<<30, 2)
+	untainted, tainted, accelerated := worker(1, 16_000, 64<<30, 0), worker(2, 16_000, 64<<30, 0), worker(3, 16_000, 64<<30, 2)
 	tainted.Taints = []string{"maintenance"}
-	fast.Labels = map[string]string{"bench": "yes"}
-	half := resource.Amount{CPU: 8_000, Memory: 32 << 30}
-	x.Set(plain, half, false)
+	accelerated.Labels = map[string]string{"bench": "yes"}
+	halfFree := resource.Amount{CPU: 8_000, Memory: 32 << 30}
+	x.Set(untainted, halfFree, false)
 	x.Set(tainted, tainted.Capacity, false)
-	x.Set(fast, fast.Capacity, false)
+	x.Set(accelerated, accelerated.Capacity, false)
 	small := resource.Amount{CPU: 1000, Memory: 1 << 30}
 	for _, c := range []struct {
-		name string
-		ask  Ask
-		want string
+		name    string
+		request Ask
+		want    string
 	}{
-		{"accelerators are kept", Ask{Need: small}, plain.Name},
-		{"taint is tolerated", Ask{Need: small, Tolerates: []string{"maintenance"}}, tainted.Name},
-		{"accelerator is needed", Ask{Need: resource.Amount{CPU: 1000, Accelerators: 1}}, fast.Name},
-		{"affinity", Ask{Need: small, Affinity: map[string]string{"bench": "yes"}}, fast.Name},
+		{"accelerators reserved", Ask{Need: small}, untainted.Name},
+		{"tolerated taint", Ask{Need: small, Tolerates: []string{"maintenance"}}, tainted.Name},
+		{"accelerator required", Ask{Need: resource.Amount{CPU: 1000, Accelerators: 1}}, accelerated.Name},
+		{"affinity", Ask{Need: small, Affinity: map[string]string{"bench": "yes"}}, accelerated.Name},
 		{"anti-affinity", Ask{Need: resource.Amount{CPU: 9000}, Avoid: map[string]string{"bench": "yes"}}, ""},
-		{"too large", Ask{Need: resource.Amount{CPU: 17_000}}, ""},
-		{"siblings are kept apart", Ask{Need: small, Tolerates: []string{"maintenance"}, Crowd: func(w provider.Worker) (int, int) {
+		{"need exceeds every worker", Ask{Need: resource.Amount{CPU: 17_000}}, ""},
+		{"siblings spread", Ask{Need: small, Tolerates: []string{"maintenance"}, Crowd: func(w provider.Worker) (int, int) {
 			if w.Name == tainted.Name {
 				return 1, 1
 			}
 			return 0, 0
-		}}, plain.Name},
+		}}, untainted.Name},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, _ := Choose(x, Waiting{}, c.ask)
+			w, _ := Choose(x, Waiting{}, c.request)
 			if w.Name != c.want {
 				t.Errorf("chose %q, want %q", w.Name, c.want)
 			}
@@ -101,72 +101,72 @@
 	}
 }
 
-func TestPackingFillsAndWaitingSpreads(t *testing.T) {
+func TestScorers(t *testing.T) {
 	x := NewIndex()
 	full, empty := worker(1, 16_000, 64<<30, 0), worker(2, 16_000, 64<<30, 0)
 	x.Set(full, resource.Amount{CPU: 2000, Memory: 8 << 30}, false)
 	x.Set(empty, empty.Capacity, false)
-	ask := Ask{Need: resource.Amount{CPU: 1000, Memory: 4 << 30}}
-	if w, _ := Choose(x, Packing{}, ask); w.Name != full.Name {
-		t.Errorf("packing chose %s", w.Name)
+	request := Ask{Need: resource.Amount{CPU: 1000, Memory: 4 << 30}}
+	if w, _ := Choose(x, Packing{}, request); w.Name != full.Name {
+		t.Errorf("Packing chose %s, want the fuller worker", w.Name)
 	}
-	if w, _ := Choose(x, Waiting{}, ask); w.Name != empty.Name {
-		t.Errorf("waiting chose %s", w.Name)
+	if w, _ := Choose(x, Waiting{}, request); w.Name != empty.Name {
+		t.Errorf("Waiting chose %s, want the emptier worker", w.Name)
 	}
 }
 
-// cluster is an index of n workers, nearly full of random tasks.
-func cluster(n int) (*Index, []provider.Worker, map[string]resource.Amount) {
+// loadedIndex returns an index of n workers with little free capacity.
+func loadedIndex(n int) (*Index, []provider.Worker, map[string]resource.Amount) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	x, free := NewIndex(), map[string]resource.Amount{}
 	var all []provider.Worker
 	for i := range n {
 		var acc int64
 		if i%2 == 0 {
-			acc = int64(rng.IntN(2)) * 8 // about 2 a worker on average
+			acc = int64(rng.IntN(2)) * 8 // about 2 per worker on average
 		}
 		w := worker(i, 16_000, 64<<30, acc)
-		left := resource.Amount{
+		remaining := resource.Amount{
 			CPU: resource.MilliCPU(rng.Int64N(6000)), Memory: resource.Bytes(rng.Int64N(24 << 30)),
 			Accelerators: rng.Int64N(acc + 1),
 		}
-		x.Set(w, left, false)
-		free[w.Name] = left
+		x.Set(w, remaining, false)
+		free[w.Name] = remaining
 		all = append(all, w)
 	}
 	return x, all, free
 }
 
-// shapes are the tasks of a mixed load.
-var shapes = []resource.Amount{
+// taskShapes lists the resource needs of a mixed load.
+var taskShapes = []resource.Amount{
 	{CPU: 250, Memory: 512 << 20}, {CPU: 500, Memory: 2 << 30}, {CPU: 1000, Memory: 1 << 30},
 	{CPU: 2000, Memory: 4 << 30}, {CPU: 4000, Memory: 8 << 30, Accelerators: 1},
 }
 
 func benchmark[S Scorer](b *testing.B, n int, s S, choose func(*Index, S, Ask) (provider.Worker, bool)) {
-	x, _, free := cluster(n)
+	x, _, free := loadedIndex(n)
 	byName := map[string]provider.Worker{}
 	for name, e := range x.byName {
 		byName[name] = e.worker
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
-	type placed struct {
+	type placedTask struct {
 		name string
 		need resource.Amount
 	}
-	var running []placed
-	took := hdrhistogram.New(1, int64(time.Second), 3)
+	var running []placedTask
+	latency := hdrhistogram.New(1, int64(time.Second), 3)
 	b.ReportAllocs()
 	for b.Loop() {
-		need := shapes[rng.IntN(len(shapes))]
-		begin := time.Now()
+		need := taskShapes[rng.IntN(len(taskShapes))]
+		start := time.Now()
 		w, found := choose(x, s, Ask{Need: need})
 		if found {
 			free[w.Name] = free[w.Name].Minus(need)
 			x.Set(w, free[w.Name], false)
-			running = append(running, placed{w.Name, need})
+			running = append(running, placedTask{w.Name, need})
 		}
-		took.RecordValue(max(time.Since(begin).Nanoseconds(), 1))
+		latency.RecordValue(max(time.Since(start).Nanoseconds(), 1))
 		if len(running) > n || !found && len(running) > 0 {
 			i := rng.IntN(len(running))
 			p := running[i]
@@ -176,12 +176,12 @@
 			x.Set(byName[p.name], free[p.name], false)
 		}
 	}
-	b.ReportMetric(float64(took.ValueAtPercentile(99)), "ns-p99")
+	b.ReportMetric(float64(latency.ValueAtPercentile(99)), "ns-p99")
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "decisions/s")
 }
 
-// BenchmarkChoose measures a decision and the change of the index that follows
-// it. Scan is the baseline: a look at every worker.
+// BenchmarkChoose measures a placement and the index update that follows it, with
+// Scan as the baseline.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{100, 1000, 4100, 16000} {
 		b.Run(fmt.Sprintf("waiting/index/%d", n), func(b *testing.B) { benchmark(b, n, Waiting{}, Choose[Waiting]) })
