--- a/account/account_test.go
+++ b/account/account_test.go
@@ -11,16 +11,16 @@
 	"chutereach/resource"
 )
 
-func amount(t *rapid.T, name string, least, most int64) resource.Amount {
+func amount(t *rapid.T, name string, low, high int64) resource.Amount {
 	return resource.Amount{
-		CPU:          resource.MilliCPU(rapid.Int64Range(least, most).Draw(t, name+" cpu")),
-		Memory:       resource.Bytes(rapid.Int64Range(least, most).Draw(t, name+" memory")),
-		Accelerators: rapid.Int64Range(least, most).Draw(t, name+" accelerators"),
+		CPU:          resource.MilliCPU(rapid.Int64Range(low, high).Draw(t, name+" cpu")),
+		Memory:       resource.Bytes(rapid.Int64Range(low, high).Draw(t, name+" memory")),
+		Accelerators: rapid.Int64Range(low, high).Draw(t, name+" accelerators"),
 	}
 }
 
-// As many tasks fit as the quota allows one by one.
-func TestFittingAgreesWithAllows(t *testing.T) {
+// Guards against a disagreement between Fitting and Allows about the last admissible task.
+func TestAdditionalTasksMatchAllows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota := account.Quota(amount(t, "quota", -2, 40))
 		used := amount(t, "used", 0, 30)
@@ -28,21 +28,21 @@
 		limit := rapid.IntRange(0, 9).Draw(t, "limit")
 		got := quota.Fitting(used, need, limit)
 		if got < 0 || got > limit {
-			t.Fatalf("%d of at most %d", got, limit)
+			t.Fatalf("Fitting() = %d, want 0 to %d", got, limit)
 		}
 		if !quota.Allows(used) {
-			return // more runs than is allowed: only kinds that are not needed can be over
+			return // the account is over quota already
 		}
 		if got > 0 && !quota.Allows(used.Plus(need.Times(int64(got)))) {
-			t.Fatalf("%d tasks fit, and are not allowed", got)
+			t.Fatalf("Fitting() = %d, but Allows rejects that many tasks", got)
 		}
 		if got < limit && quota.Allows(used.Plus(need.Times(int64(got+1)))) {
-			t.Fatalf("only %d tasks fit, and one more is allowed", got)
+			t.Fatalf("Fitting() = %d, but Allows accepts one more task", got)
 		}
 	})
 }
 
-func TestQuotaOfEachKind(t *testing.T) {
+func TestQuotaPerResource(t *testing.T) {
 	need := resource.Amount{CPU: 2, Memory: 3}
 	cases := []struct {
 		name  string
@@ -50,18 +50,18 @@
 		used  resource.Amount
 		want  int
 	}{
-		{"no bound", account.Quota{}, resource.Amount{CPU: 1 << 40}, 5},
-		{"processors", account.Quota{CPU: 5}, resource.Amount{}, 2},
-		{"memory", account.Quota{CPU: 50, Memory: 5}, resource.Amount{}, 1},
-		{"in use", account.Quota{CPU: 5}, resource.Amount{CPU: 4}, 0},
-		{"over it", account.Quota{CPU: 5}, resource.Amount{CPU: 9}, 0},
-		{"over what is not needed", account.Quota{Accelerators: 1}, resource.Amount{Accelerators: 9}, 5},
-		{"nothing allowed", account.Quota{Memory: -1}, resource.Amount{}, 0},
+		{"unlimited", account.Quota{}, resource.Amount{CPU: 1 << 40}, 5},
+		{"CPU limit", account.Quota{CPU: 5}, resource.Amount{}, 2},
+		{"memory limit", account.Quota{CPU: 50, Memory: 5}, resource.Amount{}, 1},
+		{"partly in use", account.Quota{CPU: 5}, resource.Amount{CPU: 4}, 0},
+		{"over the limit", account.Quota{CPU: 5}, resource.Amount{CPU: 9}, 0},
+		{"over the limit of a resource that is not needed", account.Quota{Accelerators: 1}, resource.Amount{Accelerators: 9}, 5},
+		{"negative limit", account.Quota{Memory: -1}, resource.Amount{}, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.quota.Fitting(test.used, need, 5); got != test.want {
-				t.Errorf("%d fit, want %d", got, test.want)
+				t.Errorf("Fitting() = %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -78,22 +78,22 @@
 	for _, test := range cases {
 		got, known := d.ByKey(account.DigestOf(test.key))
 		if got.Name != test.want || known != (test.want != "") {
-			t.Errorf("key %q belongs to %q, want %q", test.key, got.Name, test.want)
+			t.Errorf("ByKey(%q) = account %q, want %q", test.key, got.Name, test.want)
 		}
 	}
 	if got, _ := d.Named("a"); got.Weight != 1 {
-		t.Errorf("of two accounts with one name the terms %+v are in force, want the first ones", got)
+		t.Errorf("Named(a) = %+v, want the terms of the first account named a", got)
 	}
 	if _, known := (account.Directory{}).ByKey(account.DigestOf("k1")); known || d.Len() != 2 {
-		t.Errorf("the empty directory knows a key, or %d accounts, want 2", d.Len())
+		t.Errorf("the zero directory knows a key, or Len() = %d, want 2", d.Len())
 	}
 }
 
-func TestDigestsAreNotWritten(t *testing.T) {
+func TestDigestsAreRedacted(t *testing.T) {
 	digest := account.DigestOf("secret")
 	for _, text := range []string{fmt.Sprint(digest), fmt.Sprintf("%v", account.Account{Keys: []account.Digest{digest}})} {
 		if strings.Contains(text, fmt.Sprint(digest[0])) || strings.Contains(text, "secret") {
-			t.Errorf("a digest is written as %s", text)
+			t.Errorf("digest or key appears in %q", text)
 		}
 	}
 }
--- a/account/directory.go
+++ b/account/directory.go
@@ -1,15 +1,15 @@
 package account
 
-// Directory finds the accounts of one configuration. It never changes. The zero Directory
-// knows no account.
+// Directory looks up the accounts of one configuration. It is immutable. The zero Directory is
+// empty.
 type Directory struct {
 	byKey  map[Digest]Terms
 	byName map[string]Terms
 }
 
-// NewDirectory returns the directory of a list of accounts. Of two with one name the first
-// one's terms are in force, with the keys of both. A key that two accounts hold is the first
-// one's: turning its callers away would be worse.
+// NewDirectory returns the directory of a list of accounts. Accounts with the same name are
+// merged: the terms of the first apply to the keys of all. A key of several accounts
+// identifies the first of them, because rejecting its callers would be worse.
 func NewDirectory(list []Account) Directory {
 	d := Directory{byKey: map[Digest]Terms{}, byName: make(map[string]Terms, len(list))}
 	for _, a := range list {
@@ -27,18 +27,18 @@
 	return d
 }
 
-// ByKey returns the terms of the account that holds a key. The digest is looked up as a
-// whole, so how long it takes tells nothing of the keys that there are.
+// ByKey returns the terms of the account that holds a key. Lookup by digest keeps the duration
+// independent of how much of a guessed key is correct.
 func (d Directory) ByKey(key Digest) (Terms, bool) {
 	terms, ok := d.byKey[key]
 	return terms, ok
 }
 
-// Named returns the terms of an account.
+// Named returns the terms of the account with the given name.
 func (d Directory) Named(name string) (Terms, bool) {
 	terms, ok := d.byName[name]
 	return terms, ok
 }
 
-// Len returns the number of accounts.
+// Len returns the number of distinct account names.
 func (d Directory) Len() int { return len(d.byName) }
--- a/account/doc.go
+++ b/account/doc.go
@@ -1,6 +1,6 @@
-// Package account knows client accounts: whose a call is, by the keys that an account
-// holds, which share of a full cluster is the account's, and what it may have running.
+// Package account defines client accounts: the keys that authenticate their calls, their
+// weight when resources are scarce, and their quota.
 //
-// Keys are kept as digests only. A digest can be compared, sent to another box and used as
-// the key of a map without telling the key.
+// Keys are held only as digests. A digest can be compared, sent to another box and used as a
+// map key without revealing the key.
 package account
