--- a/fit/doc.go
+++ b/fit/doc.go
@@ -1,9 +1,6 @@
-// Package fit rates the workers that have room for a task.
+// Package fit scores the workers that have room for a task.
 //
-// The load that it answers: tasks of 9, 5 and 3.5 processors on workers of 32, most of them small
-// and many, some in gangs of twenty that need whole gaps of 9. A task goes where the least is
-// left, so that other workers stay whole. Workers that fail, are slow or far from the data come
-// last, since an attempt that is lost there costs more than any gap.
-//
-// Everything here is a value.
+// Scoring is best fit: a task goes to the worker with the least capacity left, which keeps
+// other workers free for large tasks and gangs. Workers that fail, are slow or are far from the
+// input data rank last, because a lost or slow attempt costs more than fragmentation.
 package fit
--- a/fit/fit.go
+++ b/fit/fit.go
@@ -6,49 +6,52 @@
 	"chutereach/resource"
 )
 
-// Weights of what makes a place the worse one. What is left of a worker counts for 2 at the
-// most, so that a worker that is unsound or far from the data comes after all others.
+// Penalties and weights of Score. The remaining capacity adds at most 2, so each penalty for
+// an unhealthy worker or a failure of the task outweighs it.
 const (
-	unsoundPenalty    = 8.0 // it has failed of late
-	failedHerePenalty = 8.0 // the task itself has failed there
-	failurePenalty    = 6.0 // times the share of attempts that fail there
-	slowPenalty       = 6.0 // times how much slower it is than the fleet
-	// slowFrom is the slowness below which a worker counts as sound: estimates are rough.
-	slowFrom = 0.4
-	// remoteWeight is for each time as long that a task takes away from its data: 4 where it
-	// takes half as long again.
-	remoteWeight = 8.0
+	unhealthyPenalty       = 8.0 // the worker is rated unhealthy
+	sameTaskFailurePenalty = 8.0 // the task's latest failure was on the worker
+	failureRateWeight      = 6.0 // multiplied by the failure rate
+	slowdownWeight         = 6.0 // multiplied by the slowdown
+	// slowdownTolerance is the largest slowdown without a penalty, because estimated run times
+	// are imprecise.
+	slowdownTolerance = 0.4
+	// remoteSlowdownWeight is multiplied by the slowdown from remote data: a task that takes
+	// 1.5 times as long is penalized by 4.
+	remoteSlowdownWeight = 8.0
 )
 
-// Place is a worker with room for a task.
+// Place describes a worker with room for a task.
 type Place struct {
-	// Capacity is all that the worker has, and Left what it has left once the task is there.
+	// Capacity is the worker's total capacity, and Left what remains free with the task placed.
 	Capacity, Left resource.Amount
-	// FailedHere is whether the task itself has failed there last.
+	// FailedHere reports whether the latest failure of the task was on this worker.
 	FailedHere bool
-	// Unsound is whether it has failed of late, and Failures the share of attempts that fail.
+	// Unsound reports whether the worker is rated unhealthy. Failures is the estimated fraction
+	// of attempts on it that fail.
 	Unsound  bool
 	Failures float64
-	// Slowness is how much slower it is than the fleet; 1: it takes twice as long.
+	// Slowness is the relative increase in run time over the fleet; at 1 tasks take twice as
+	// long.
 	Slowness float64
-	// Remote is by how many times as long the task takes there than near its data; 0: it is
-	// near them, or has none.
+	// Remote is the relative increase in run time caused by remote input data; 0 if the data is
+	// near or the task has none.
 	Remote float64
 }
 
-// Score rates a place; the lowest is the best.
-func Score(p Place) float64 {
-	score := share(int64(p.Left.CPU), int64(p.Capacity.CPU)) + share(int64(p.Left.Memory), int64(p.Capacity.Memory))
-	score += remoteWeight * math.Max(0, p.Remote)
-	score += failurePenalty * p.Failures
-	if p.Unsound {
-		score += unsoundPenalty
+// Score rates a worker for a task. Lower is better.
+func Score(c Place) float64 {
+	score := share(int64(c.Left.CPU), int64(c.Capacity.CPU)) + share(int64(c.Left.Memory), int64(c.Capacity.Memory))
+	score += remoteSlowdownWeight * math.Max(0, c.Remote)
+	score += failureRateWeight * c.Failures
+	if c.Unsound {
+		score += unhealthyPenalty
 	}
-	if p.FailedHere {
-		score += failedHerePenalty
+	if c.FailedHere {
+		score += sameTaskFailurePenalty
 	}
-	if p.Slowness > slowFrom {
-		score += slowPenalty * p.Slowness
+	if c.Slowness > slowdownTolerance {
+		score += slowdownWeight * c.Slowness
 	}
 	return score
 }
