--- a/account/account_test.go
+++ b/account/account_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// Guards against a disagreement between Fitting and Allows about the last admissible task.
+// Guards against a task count that differs from checking the tasks against the quota one by one.
 func TestAdditionalTasksMatchAllows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota := account.Quota(amount(t, "quota", -2, 40))
@@ -28,16 +28,16 @@
 		limit := rapid.IntRange(0, 9).Draw(t, "limit")
 		got := quota.Fitting(used, need, limit)
 		if got < 0 || got > limit {
-			t.Fatalf("Fitting() = %d, want 0 to %d", got, limit)
+			t.Fatalf("%d additional tasks, want 0 to %d", got, limit)
 		}
 		if !quota.Allows(used) {
 			return // the account is over quota already
 		}
 		if got > 0 && !quota.Allows(used.Plus(need.Times(int64(got)))) {
-			t.Fatalf("Fitting() = %d, but Allows rejects that many tasks", got)
+			t.Fatalf("%d additional tasks, but the quota does not allow them", got)
 		}
 		if got < limit && quota.Allows(used.Plus(need.Times(int64(got+1)))) {
-			t.Fatalf("Fitting() = %d, but Allows accepts one more task", got)
+			t.Fatalf("%d additional tasks, but the quota allows one more", got)
 		}
 	})
 }
@@ -61,7 +61,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.quota.Fitting(test.used, need, 5); got != test.want {
-				t.Errorf("Fitting() = %d, want %d", got, test.want)
+				t.Errorf("%d additional tasks, want %d", got, test.want)
 			}
 		})
 	}
@@ -78,11 +78,11 @@
 	for _, test := range cases {
 		got, known := d.ByKey(account.DigestOf(test.key))
 		if got.Name != test.want || known != (test.want != "") {
-			t.Errorf("ByKey(%q) = account %q, want %q", test.key, got.Name, test.want)
+			t.Errorf("key %q: got account %q, want %q", test.key, got.Name, test.want)
 		}
 	}
 	if got, _ := d.Named("a"); got.Weight != 1 {
-		t.Errorf("Named(a) = %+v, want the terms of the first account named a", got)
+		t.Errorf("account a has terms %+v, want those of the first account of that name", got)
 	}
 	if _, known := (account.Directory{}).ByKey(account.DigestOf("k1")); known || d.Len() != 2 {
 		t.Errorf("the zero directory knows a key, or Len() = %d, want 2", d.Len())
--- a/fit/fit_test.go
+++ b/fit/fit_test.go
@@ -59,7 +59,7 @@
 		candidate := local
 		candidate.Remote = test.remote
 		if got := fit.Score(candidate) - fit.Score(local); math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("penalty for Remote %v = %v, want %v", test.remote, got, test.want)
+			t.Errorf("penalty for remote slowdown %v = %v, want %v", test.remote, got, test.want)
 		}
 	}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -108,10 +108,10 @@
 	x.Set(empty, empty.Capacity, false)
 	request := Ask{Need: resource.Amount{CPU: 1000, Memory: 4 << 30}}
 	if w, _ := Choose(x, Packing{}, request); w.Name != full.Name {
-		t.Errorf("Packing chose %s, want the fuller worker", w.Name)
+		t.Errorf("packing scorer chose %s, want the fuller worker", w.Name)
 	}
 	if w, _ := Choose(x, Waiting{}, request); w.Name != empty.Name {
-		t.Errorf("Waiting chose %s, want the emptier worker", w.Name)
+		t.Errorf("spreading scorer chose %s, want the emptier worker", w.Name)
 	}
 }
 
--- a/workload/crashes.go
+++ b/workload/crashes.go
@@ -20,10 +20,10 @@
 // crashes cannot report the outcome of its tasks, so without this record a task that crashes
 // its workers would be restarted indefinitely.
 type Crashes struct {
-	// Workers is the number of workers that ended while they held an attempt. Soon is the
-	// number of those that ended alone and immediately after the attempt had started.
+	// Workers is the number of workers that ended while they held an attempt.
 	Workers int `cbor:"6,keyasint,omitempty"`
-	Soon    int `cbor:"7,keyasint,omitempty"`
+	// Soon is the number of workers that ended alone, immediately after the attempt started.
+	Soon int `cbor:"7,keyasint,omitempty"`
 	// LastAttempt is the number of the last permitted attempt, or 0 if there is no limit.
 	LastAttempt int `cbor:"8,keyasint,omitempty"`
 	// Open lists lost workers that may have crashed or may only be unreachable.
@@ -103,7 +103,7 @@
 	return c
 }
 
-// unresolvedExcept returns c.Open without the given worker.
+// unresolvedExcept returns the lost workers other than the given one.
 func (c Crashes) unresolvedExcept(worker fleet.Life) []LostWorker {
 	var rest []LostWorker
 	for _, lost := range c.Open {
--- a/workload/crashes_test.go
+++ b/workload/crashes_test.go
@@ -48,10 +48,10 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.crashes.Held(); got != test.held {
-				t.Errorf("Held() = %v, want %v", got, test.held)
+				t.Errorf("held = %v, want %v", got, test.held)
 			}
 			if got := test.crashes.GivenUp(test.attempt); got != test.givenUp {
-				t.Errorf("GivenUp() = %v, want %v", got, test.givenUp)
+				t.Errorf("given up = %v, want %v", got, test.givenUp)
 			}
 		})
 	}
--- a/workload/queue.go
+++ b/workload/queue.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// AdvicePolicy describes the placement advice service of a queue: a call takes Decision plus
-// Each per worker named in it, and its tickets expire after Valid. The zero value means that
-// the queue does not use advice.
+// AdvicePolicy describes the placement advice service of a queue. The zero value means that the
+// queue does not use advice.
 type AdvicePolicy struct {
-	Decision time.Duration `cbor:"1,keyasint,omitempty"`
-	Each     time.Duration `cbor:"2,keyasint,omitempty"`
-	Valid    time.Duration `cbor:"3,keyasint,omitempty"`
+	Decision time.Duration `cbor:"1,keyasint,omitempty"` // fixed duration of a call
+	Each     time.Duration `cbor:"2,keyasint,omitempty"` // added per worker named in the call
+	Valid    time.Duration `cbor:"3,keyasint,omitempty"` // lifetime of the returned tickets
 }
 
 // Needed reports whether tasks of the queue need a ticket to start.
