--- a/node/beat.go
+++ b/node/beat.go
@@ -12,67 +12,69 @@
 )
 
 const (
-	// beatEvery is how often an owner sends heartbeats to the nodes that would take the
-	// shard over first, nearMost of them.
+	// beatEvery is the interval of heartbeats to the nearMost nodes that are first in the order
+	// of succession.
 	beatEvery = 150 * time.Millisecond
 	nearMost  = 12
-	// farBeats bounds the heartbeats a second to all other nodes together: with one to each
-	// at every turn, 146 nodes took 970 calls a second. Nobody hears of an owner less often
-	// than each farSlowest, well within unreadyAfter.
-	farBeats    = 200
-	farSlowest  = 2 * time.Second
-	beatTimeout = 400 * time.Millisecond
-	// memberLost is after how long without an answer a node gets no advice calls.
-	memberLost = time.Second
-	// lostPause spares a node that does not answer most heartbeats.
-	lostPause = time.Second
-	// storeFailing is after how long without the store an owner hands over to any node that the
-	// store answers, and storeDoubted to one that it answers at once: the longer it is waited, the
-	// more ends and new jobs wait with it.
-	storeFailing = 350 * time.Millisecond
-	storeDoubted = 150 * time.Millisecond
-	// storeCheck is how often an owner looks at how the store answers it.
-	storeCheck = 50 * time.Millisecond
+	// farBeats bounds the heartbeats per second to all other nodes together. Each of them still
+	// gets one at least every farSlowest, which is well within unreadyAfter.
+	farBeats         = 200
+	farSlowest       = 2 * time.Second
+	heartbeatTimeout = 400 * time.Millisecond
+	// memberLostAfter is how long a node may leave heartbeats unanswered before it is
+	// considered lost and gets no more advice calls.
+	memberLostAfter = time.Second
+	// lostMemberRetryDelay is the minimum time between heartbeats to a lost node.
+	lostMemberRetryDelay = time.Second
+	// storeFailing is how long the store must have failed the owner before it hands the shard
+	// over to any node that reaches the store. After storeSuspectAfter it already hands over to
+	// a node that the store answers within shortProbeTimeout. New jobs and results wait until
+	// the store answers again or another node owns the shard.
+	storeFailing      = 350 * time.Millisecond
+	storeSuspectAfter = 150 * time.Millisecond
+	// storeCheckInterval is how often an owner checks whether the store answers it.
+	storeCheckInterval = 50 * time.Millisecond
 )
 
-// beatLoop sends heartbeats while this node owns the shard.
-func (n *Node) beatLoop(ctx context.Context) {
+// heartbeatLoop sends heartbeats while this node owns the shard.
+func (n *Node) heartbeatLoop(ctx context.Context) {
 	for turn := 1; ctx.Err() == nil; turn++ {
 		wait.For(ctx, beatEvery)
-		n.announce(turn)
+		n.sendHeartbeats(turn)
 	}
 }
 
-// fitnessLoop looks whether this node is still fit to own the shard. It is apart
-// from the heartbeats, which a handover must not hold up.
-func (n *Node) fitnessLoop(ctx context.Context) {
+// lagCheckLoop hands the shard over when a better owner is available. It runs apart from
+// heartbeatLoop so that a handover does not delay heartbeats.
+func (n *Node) lagCheckLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, beatEvery)
 		n.checkLag(ctx)
 	}
 }
 
-// storeLoop looks whether the store answers this node.
-func (n *Node) storeLoop(ctx context.Context) {
+// storeCheckLoop hands the shard over when the store does not answer this node.
+func (n *Node) storeCheckLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, storeCheck)
+		wait.For(ctx, storeCheckInterval)
 		n.checkStore(ctx)
 	}
 }
 
-// allNodes is the turn in which every node gets a heartbeat.
-const allNodes = 0
+// allNodesTurn is the turn in which every node gets a heartbeat.
+const allNodesTurn = 0
 
-// farPeriod returns in how many turns each of a number of far nodes gets one heartbeat.
+// farPeriod returns the number of turns between two heartbeats to the same node, given the
+// number of nodes that do not get one every turn.
 func farPeriod(far int) int {
 	perTurn := farBeats * beatEvery.Seconds()
 	period := int(math.Ceil(float64(far) / perTurn))
 	return max(1, min(period, int(farSlowest/beatEvery)))
 }
 
-// announce sends the heartbeats of a turn. The nodes that would succeed this one get one
-// at each turn, the others in turn.
-func (n *Node) announce(turn int) {
+// sendHeartbeats sends the heartbeats of a turn: to the first nearMost nodes in the order of
+// succession every turn, and to each of the others every farPeriod turns.
+func (n *Node) sendHeartbeats(turn int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.own == nil {
@@ -81,42 +83,43 @@
 	table, _ := n.routes.Current()
 	ranked := n.ranked()
 	period := farPeriod(len(ranked) - 1 - nearMost)
-	short := beat{Undecided: time.Since(n.ownSince) < relayTerm, Owner: n.owner, TableVersion: table.Version, TableAge: n.tableAge()}
+	short := beat{Undecided: time.Since(n.termStartedAt) < relayTerm, Owner: n.owner, TableVersion: table.Version, TableAge: n.tableAge()}
 	full := short
-	told, serial := n.tellSuccession()
-	full.Members = told
+	members, version := n.currentSuccession()
+	full.Members = members
 	plan := n.relayPlan(ranked)
 	near := nearMost
 	for i, member := range ranked {
 		if member.Node == n.config.Self.Node {
-			near++ // it counts for none of them
+			near++ // this node does not count toward nearMost
 			continue
 		}
 		every := 1
 		if i >= near {
 			every = period
 		}
-		if turn != allNodes && (turn+i)%every != 0 {
+		if turn != allNodesTurn && (turn+i)%every != 0 {
 			continue
 		}
 		state := n.peers[member.Node]
-		if state.lost && time.Since(state.failed) < lostPause {
+		if state.lost && time.Since(state.failedAt) < lostMemberRetryDelay {
 			continue
 		}
 		short.Next, full.Next = time.Duration(every)*beatEvery, time.Duration(every)*beatEvery
 		short.Relay, full.Relay = plan.relays[member.Node], plan.relays[member.Node]
 		short.Relays, full.Relays = plan.chosen[member.Node], plan.chosen[member.Node]
 		message := short
-		if state.told != serial {
+		if state.successionVersion != version {
 			message = full
 		}
-		n.tasks.Go(func() { n.sendBeat(member, message, serial) })
+		n.tasks.Go(func() { n.sendHeartbeat(member, message, version) })
 	}
 }
 
-// sendBeat sends a heartbeat with the succession as of a serial, or without it.
-func (n *Node) sendBeat(member Member, message beat, serial uint64) {
-	ctx, cancel := context.WithTimeout(n.ctx, beatTimeout)
+// sendHeartbeat sends a heartbeat to a member and records the answer. version is the version of
+// the succession as of the heartbeat.
+func (n *Node) sendHeartbeat(member Member, message beat, version uint64) {
+	ctx, cancel := context.WithTimeout(n.ctx, heartbeatTimeout)
 	defer cancel()
 	answer, err := peer.Call[beatAnswer](ctx, n.client, member.Address, beatPath, message)
 	now := time.Now()
@@ -124,13 +127,13 @@
 	state := n.peers[member.Node]
 	wasLost, relayed := state.lost, state.relays
 	if err == nil {
-		state = peerState{heard: now, storeOK: answer.StoreOK, lag: answer.Lag, told: serial, relays: answer.Relays}
-		if answer.Members < len(n.told) {
-			state.told = 0 // it has begun anew, or has not heard of all
+		state = peerState{heardAt: now, storeOK: answer.StoreOK, lag: answer.Lag, successionVersion: version, relays: answer.Relays}
+		if answer.Members < len(n.announced) {
+			state.successionVersion = 0 // the node has restarted or missed an update
 		}
 	} else {
-		state.failed = now
-		state.lost = now.Sub(state.heard) > memberLost
+		state.failedAt = now
+		state.lost = now.Sub(state.heardAt) > memberLostAfter
 	}
 	n.peers[member.Node] = state
 	if wasLost != state.lost || relayed != state.relays {
@@ -138,21 +141,21 @@
 	}
 	n.mu.Unlock()
 	if wasLost != state.lost {
-		n.log.Info().Str("node", member.Node).Bool("lost", state.lost).Msg("node lost or back")
+		n.log.Info().Str("node", member.Node).Bool("lost", state.lost).Msg("node reachability changed")
 		n.setLanes()
 	}
 	if err != nil {
 		return
 	}
 	if answer.Owner.Token > message.Owner.Token {
-		n.believe(answer.Owner)
+		n.learnOwner(answer.Owner)
 	}
 	n.hearOfTable(answer.TableVersion, member.Address)
 }
 
-// takeBeat takes in an owner's heartbeat.
-func (n *Node) takeBeat(_ context.Context, message beat) (beatAnswer, error) {
-	n.heard(message.Owner, message.Next)
+// handleHeartbeat answers a heartbeat of the owner.
+func (n *Node) handleHeartbeat(_ context.Context, message beat) (beatAnswer, error) {
+	n.ownerHeard(message.Owner, message.Next)
 	n.orders.assign(message, time.Now())
 	n.hearOfTable(message.TableVersion, message.Owner.Address)
 	if !n.routes.Lacks(message.TableVersion) {
@@ -161,45 +164,45 @@
 	table, _ := n.routes.Current()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.toldAt = time.Now()
-	n.followSuccession(message.Members)
+	n.heartbeatReceivedAt = time.Now()
+	n.applySuccession(message.Members)
 	return beatAnswer{
 		Owner: n.owner, StoreOK: n.reachesStore() && !n.stopping, TableVersion: table.Version, Lag: n.lag.Mean(),
 		Members: len(n.members), Relays: n.relaysNow() && !n.storeBad && !n.stopping,
 	}, nil
 }
 
-// heard notes a sign of life of an owner, unless a later one is known, and after how long
-// the next one is due.
-func (n *Node) heard(owner ownership, next time.Duration) {
+// ownerHeard records a sign of life of an owner and when the next heartbeat is due, unless an
+// owner with a higher token is known.
+func (n *Node) ownerHeard(owner ownership, next time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if owner.Token < n.owner.Token {
 		return
 	}
-	n.beatAt = time.Now()
-	n.beatNext = max(next, beatEvery)
-	n.ownedAt = n.beatAt
-	n.followLocked(owner)
+	n.ownerHeardAt = time.Now()
+	n.nextHeartbeatIn = max(next, beatEvery)
+	n.anyOwnerHeardAt = n.ownerHeardAt
+	n.setOwnerLocked(owner)
 }
 
-// believe notes that another node owns the shard, without a sign of its life.
-func (n *Node) believe(owner ownership) {
+// learnOwner records that another node owns the shard, without counting it as a sign of life.
+func (n *Node) learnOwner(owner ownership) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if owner.Token > n.owner.Token {
-		n.followLocked(owner)
+		n.setOwnerLocked(owner)
 	}
 }
 
-func (n *Node) followLocked(owner ownership) {
+func (n *Node) setOwnerLocked(owner ownership) {
 	if owner == n.owner {
 		return
 	}
 	n.owner = owner
-	n.log.Info().Str("owner", owner.Node).Uint64("token", owner.Token).Msg("owner")
-	if n.own != nil && n.own.Token() < owner.Token && n.endOwn != nil {
-		n.endOwn()
+	n.log.Info().Str("owner", owner.Node).Uint64("token", owner.Token).Msg("owner changed")
+	if n.own != nil && n.own.Token() < owner.Token && n.cancelTerm != nil {
+		n.cancelTerm()
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -208,11 +211,10 @@
 func (n *Node) answerPing(context.Context, nothing) (pingAnswer, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return pingAnswer{n.owner, n.own != nil || n.taking}, nil
+	return pingAnswer{n.owner, n.own != nil || n.takingOver}, nil
 }
 
-// checkStore hands the shard over when the store does not answer this node but
-// answers others.
+// checkStore hands the shard over when the store does not answer this node but answers others.
 func (n *Node) checkStore(ctx context.Context) {
 	n.mu.Lock()
 	own := n.own
@@ -225,13 +227,14 @@
 		return
 	}
 	const why = "the store does not answer this node"
-	switch silent := time.Since(since); {
-	case silent >= storeFailing:
+	switch failingFor := time.Since(since); {
+	case failingFor >= storeFailing:
 		n.handOver(ctx, why, anySuccessor)
-	case silent >= storeDoubted:
-		n.handOverTo(ctx, handover{why: why, fits: anySuccessor, look: promptLook, pause: storeFailing - storeDoubted})
+	case failingFor >= storeSuspectAfter:
+		n.tryHandover(ctx, handover{why: why, eligible: anySuccessor, probeTimeout: shortProbeTimeout, retryDelay: storeFailing - storeSuspectAfter})
 	}
 }
 
-// isRefused reports whether a machine answered that nobody listens there.
+// isRefused reports whether a machine refused the connection, as it does when no process
+// listens on the port.
 func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -2,11 +2,12 @@
 
 import "chutereach/evacuation"
 
-// evacuationCalls is how many calls of the store's feed the time within which an evacuation must
-// be heeded has room for. The rows are as old as two calls, so that the view is seldom stale.
+// evacuationCalls is the number of calls of the store's feed that fit into the time within
+// which an evacuation must take effect. The view may be as old as two calls, so that three keep
+// it from becoming stale.
 const evacuationCalls = 3
 
-// takeEvacuations takes in which data halls are evacuated, as the store has it.
+// takeEvacuations applies the evacuated data halls read from the store.
 func (n *Node) takeEvacuations(view evacuation.View) {
 	former, changed := n.evacuations.Offer(view)
 	if !changed {
--- a/node/forget.go
+++ b/node/forget.go
@@ -8,82 +8,86 @@
 	"chutereach/wait"
 )
 
-// Nodes that are replaced for good leave their rows. Without an end to that the succession would
-// come to be of nodes that are gone, and every takeover would wait for each of them.
+// Replaced nodes leave their rows behind. Unless these are deleted, the succession fills with
+// nodes that no longer exist, and every takeover waits for each of them.
 
 const (
-	// forgetAfter is after how long without an answer an owner forgets a node and deletes its row.
-	forgetAfter = 3 * time.Minute
-	// tidyEvery is how often an owner looks for such nodes, and other nodes whether they are still
-	// known: one that lives on hears of its owner at least each farSlowest.
-	tidyEvery = 30 * time.Second
+	// memberRemovalDelay is how long a node must have been unresponsive before the owner
+	// removes it and deletes its row.
+	memberRemovalDelay = 3 * time.Minute
+	// membershipCheckInterval is how often an owner looks for members to remove, and how often
+	// other nodes check that they are still members. A member gets a heartbeat at least every
+	// farSlowest.
+	membershipCheckInterval = 30 * time.Second
 )
 
-// tidyLoop forgets nodes that are gone while this node owns the shard, and else has this node
-// registered again if no owner sends it heartbeats.
-func (n *Node) tidyLoop(ctx context.Context) {
-	for wait.For(ctx, tidyEvery) == nil {
+// membershipLoop removes lost members while this node owns the shard. Otherwise it registers
+// this node again if it has received no heartbeat recently.
+func (n *Node) membershipLoop(ctx context.Context) {
+	for wait.For(ctx, membershipCheckInterval) == nil {
 		n.mu.Lock()
-		owns, unheard := n.own != nil, time.Since(n.toldAt) > tidyEvery
+		isOwner, noHeartbeat := n.own != nil, time.Since(n.heartbeatReceivedAt) > membershipCheckInterval
 		n.mu.Unlock()
 		switch {
-		case owns:
-			n.forgetGone(ctx)
-		case unheard:
+		case isOwner:
+			n.removeLostMembers(ctx)
+		case noHeartbeat:
 			n.register(ctx)
 		}
 	}
 }
 
-// forgetGone forgets the members that have not answered this owner for long.
-func (n *Node) forgetGone(ctx context.Context) {
-	gone := n.takeGone(time.Now())
-	if len(gone) == 0 {
+// removeLostMembers removes the members that have not answered this owner for
+// memberRemovalDelay, and deletes their rows.
+func (n *Node) removeLostMembers(ctx context.Context) {
+	removed := n.dropLostMembers(time.Now())
+	if len(removed) == 0 {
 		return
 	}
 	var keys []rowstore.Key
-	for _, member := range gone {
+	for _, member := range removed {
 		keys = append(keys, rowstore.Key{Table: nodesTable, Name: member.rowName()})
-		n.log.Info().Str("node", member.Node).Dur("after", forgetAfter).Msg("node is forgotten")
+		n.log.Info().Str("node", member.Node).Dur("after", memberRemovalDelay).Msg("removed unresponsive node")
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if _, err := n.platform.Store.Commit(callCtx, rowstore.Transaction{Deletes: keys}); err != nil {
-		n.log.Warn().Int("nodes", len(gone)).Err(err).Msg("rows of forgotten nodes stay")
+		n.log.Warn().Int("nodes", len(removed)).Err(err).Msg("cannot delete the rows of removed nodes")
 	}
 	n.setLanes()
 }
 
-// takeGone takes out of the members those that have not answered for long, as many as one
-// transaction deletes.
-func (n *Node) takeGone(now time.Time) []Member {
+// dropLostMembers removes lost members from n.members and returns them. It removes no more than
+// one transaction can delete.
+func (n *Node) dropLostMembers(now time.Time) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.own == nil || now.Sub(n.ownSince) < forgetAfter {
+	if n.own == nil || now.Sub(n.termStartedAt) < memberRemovalDelay {
 		return nil
 	}
-	var gone []Member
+	var removed []Member
 	for name, member := range n.members {
 		state := n.peers[name]
-		if name == n.config.Self.Node || !state.lost || now.Sub(state.heard) < forgetAfter || len(gone) == rowstore.MaxEntries {
+		if name == n.config.Self.Node || !state.lost || now.Sub(state.heardAt) < memberRemovalDelay || len(removed) == rowstore.MaxEntries {
 			continue
 		}
-		gone = append(gone, member)
+		removed = append(removed, member)
 		delete(n.members, name)
 		delete(n.peers, name)
 		n.memberSerial++
 	}
-	return gone
+	return removed
 }
 
-// followSuccession takes in the members that an owner tells. The lock is held.
-func (n *Node) followSuccession(told []Member) {
-	if len(told) == 0 || n.own != nil {
+// applySuccession replaces the known members by the succession that an owner sent. n.mu must be
+// held.
+func (n *Node) applySuccession(members []Member) {
+	if len(members) == 0 || n.own != nil {
 		return
 	}
 	former := n.members
 	n.members = map[string]Member{n.config.Self.Node: former[n.config.Self.Node]}
-	for _, member := range told {
+	for _, member := range members {
 		n.addMember(member)
 	}
 	n.memberSerial++
--- a/node/handover.go
+++ b/node/handover.go
@@ -10,45 +10,45 @@
 	"chutereach/scheduler"
 )
 
-// anySuccessor is the choice of an owner that must not be.
+// anySuccessor accepts every member as a successor.
 func anySuccessor(Member, peerState) bool { return true }
 
-// handover is one try to have another node take the shard.
+// handover describes an attempt to have another node take the shard.
 type handover struct {
-	why  string
-	fits func(Member, peerState) bool // who may take it
-	// look is how quickly the store must answer a successor, and pause what passes before the
-	// next try.
-	look, pause time.Duration
+	why      string
+	eligible func(Member, peerState) bool // reports whether a member may take the shard
+	// probeTimeout is how quickly the store must answer a successor. retryDelay is the minimum
+	// time before the next attempt.
+	probeTimeout, retryDelay time.Duration
 }
 
-// handOver has another node that reaches the store, and that fits, take the shard.
-func (n *Node) handOver(ctx context.Context, why string, fits func(Member, peerState) bool) {
-	n.handOverTo(ctx, handover{why, fits, quickLook, handoverPause})
+// handOver has an eligible node that reaches the store take the shard.
+func (n *Node) handOver(ctx context.Context, why string, eligible func(Member, peerState) bool) {
+	n.tryHandover(ctx, handover{why, eligible, quickLook, handoverRetryDelay})
 }
 
-// handOverTo asks a few of the best nodes, each first whether it could take the shard: the owner's
-// transactions are held only while one that can takes over.
-func (n *Node) handOverTo(ctx context.Context, h handover) {
+// tryHandover tries the best successors in turn. It first probes whether each can take the
+// shard, so that the owner's transactions are held only for one that can.
+func (n *Node) tryHandover(ctx context.Context, h handover) {
 	n.mu.Lock()
 	own := n.own
-	if own == nil || n.handingOver || time.Now().Before(n.handOverAt) {
+	if own == nil || n.handingOver || time.Now().Before(n.nextHandoverAt) {
 		n.mu.Unlock()
 		return
 	}
 	n.handingOver = true
 	defer n.endHandover()
-	successors := n.successors(h.fits)
+	successors := n.successors(h.eligible)
 	if len(successors) > 0 {
-		n.handOverAt = time.Now().Add(h.pause)
+		n.nextHandoverAt = time.Now().Add(h.retryDelay)
 	}
 	n.mu.Unlock()
 	for _, successor := range successors {
-		if err := n.callSuccessor(ctx, successor, takeoverCall{From: n.config.Self.Node, Probe: true, Look: h.look}); err != nil {
-			n.log.Info().Str("successor", successor.Node).Str("why", h.why).Err(err).Msg("successor cannot take the shard")
+		if err := n.callSuccessor(ctx, successor, takeoverCall{From: n.config.Self.Node, Probe: true, Look: h.probeTimeout}); err != nil {
+			n.log.Info().Str("successor", successor.Node).Str("why", h.why).Err(err).Msg("probe of successor failed")
 			continue
 		}
-		if n.passOn(ctx, own, successor, h) {
+		if n.transferTo(ctx, own, successor, h) {
 			return
 		}
 	}
@@ -60,11 +60,12 @@
 	n.handingOver = false
 }
 
-// successors returns the members that fit, the best first. The lock is held.
-func (n *Node) successors(fits func(Member, peerState) bool) []Member {
+// successors returns up to maxSuccessors eligible members that reach the store, the best first.
+// n.mu must be held.
+func (n *Node) successors(eligible func(Member, peerState) bool) []Member {
 	var successors []Member
 	for _, member := range n.others() {
-		if state := n.peers[member.Node]; state.storeOK && time.Since(state.heard) < storeFresh && fits(member, state) {
+		if state := n.peers[member.Node]; state.storeOK && time.Since(state.heardAt) < storeContactTTL && eligible(member, state) {
 			successors = append(successors, member)
 		}
 	}
@@ -78,7 +79,7 @@
 	return successors[:min(len(successors), maxSuccessors)]
 }
 
-// callSuccessor asks a node to take the shard, or whether it could.
+// callSuccessor asks a node to take the shard, or with call.Probe whether it could.
 func (n *Node) callSuccessor(ctx context.Context, successor Member, call takeoverCall) error {
 	callCtx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
@@ -86,52 +87,52 @@
 	return err
 }
 
-// passOn holds the owner's transactions while a successor takes the shard, and
-// reports whether this node owns it no more.
-func (n *Node) passOn(ctx context.Context, own *scheduler.Scheduler, successor Member, h handover) bool {
-	patience := holdTimeout
+// transferTo holds the owner's transactions while a successor takes the shard. It reports
+// whether this node no longer owns it.
+func (n *Node) transferTo(ctx context.Context, own *scheduler.Scheduler, successor Member, h handover) bool {
+	holdLimit := holdTimeout
 	if !own.Term().FailingSince().IsZero() {
-		patience = failingHold
+		holdLimit = failingStoreHoldTimeout
 	}
-	holdCtx, cancel := context.WithTimeout(ctx, patience)
+	holdCtx, cancel := context.WithTimeout(ctx, holdLimit)
 	release, err := own.Hold(holdCtx)
 	cancel()
 	if err == nil {
 		defer release()
 	}
-	err = n.callSuccessor(ctx, successor, takeoverCall{From: n.config.Self.Node, Look: h.look})
+	err = n.callSuccessor(ctx, successor, takeoverCall{From: n.config.Self.Node, Look: h.probeTimeout})
 	n.log.Info().Str("successor", successor.Node).Str("why", h.why).Dur("lag", n.lag.Mean()).
 		Bool("machine_slow", n.speed.slow()).Err(err).Msg("handing the shard over")
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err == nil && n.own == own && n.endOwn != nil {
-		n.endOwn()
+	if err == nil && n.own == own && n.cancelTerm != nil {
+		n.cancelTerm()
 	}
 	return err == nil || n.own != own
 }
 
-// answerTakeover takes the shard over from its owner, or says that it could, if
-// the store answers this node quickly: one that is slow for all is no reason to hand
-// over.
+// answerTakeover takes the shard from its owner, or for a probe reports whether it could. It
+// fails unless the store answers this node quickly: if the store is slow for every node, a
+// handover does not help.
 func (n *Node) answerTakeover(_ context.Context, call takeoverCall) (nothing, error) {
 	look := call.Look
 	if look <= 0 {
 		look = quickLook
 	}
-	if err := n.lookQuickly(n.ctx, look); err != nil || call.Probe {
+	if err := n.probeStore(n.ctx, look); err != nil || call.Probe {
 		return nothing{}, err
 	}
 	var err error
-	for range successorTries {
-		if err = n.takeFrom(n.ctx, call.From); err == nil {
+	for range maxTakeoverAttempts {
+		if err = n.takeOverFrom(n.ctx, call.From); err == nil {
 			break
 		}
 	}
 	return nothing{}, err
 }
 
-// takeFrom takes the shard from a node that hands it over.
-func (n *Node) takeFrom(parent context.Context, from string) error {
+// takeOverFrom takes the shard from a node that hands it over.
+func (n *Node) takeOverFrom(parent context.Context, from string) error {
 	ctx, cancel := context.WithTimeout(parent, storeTimeout)
 	defer cancel()
 	seen, err := leadership.Look(ctx, n.platform.Store, n.config.Scheduler.Shard)
@@ -141,13 +142,13 @@
 	if seen.Version != 0 && seen.Node != from && seen.Node != n.config.Self.Node {
 		return &NotOwnerError{}
 	}
-	return n.take(parent, seen, "handed over by "+from)
+	return n.takeOwnership(parent, seen, "handed over by "+from)
 }
 
-// lookQuickly reads the owner's row, and fails if that takes longer than a time.
-func (n *Node) lookQuickly(ctx context.Context, within time.Duration) error {
-	quick, cancel := context.WithTimeout(ctx, within)
+// probeStore reads the owner's row, and fails if that takes longer than within.
+func (n *Node) probeStore(ctx context.Context, within time.Duration) error {
+	probeCtx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	_, err := leadership.Look(quick, n.platform.Store, n.config.Scheduler.Shard)
+	_, err := leadership.Look(probeCtx, n.platform.Store, n.config.Scheduler.Shard)
 	return err
 }
--- a/node/members.go
+++ b/node/members.go
@@ -20,26 +20,28 @@
 )
 
 const (
-	// succession is how many members every node knows: those that would own the shard first. All
-	// others wait for the same time before they try, and only an owner has to know them. Were all
-	// members read by all nodes, and told to all with each change, both would grow with the square
-	// of the nodes.
+	// succession is the number of members that every node knows: the first in the order of
+	// succession. All other nodes wait equally long before they try to take the shard, and only
+	// the owner needs to know them. If every node read all members and were sent every change,
+	// the traffic would grow with the square of the number of nodes.
 	succession = nearMost + 1
-	// mostPower is the power in thousandths of a core up to which names of rows tell members apart.
-	mostPower = 999_999
+	// maxOrderedPower is the power, in thousandths of a core, from which rows are ordered by
+	// the name of the node alone.
+	maxOrderedPower = 999_999
 )
 
-// rowName returns the name of the member's row. The rows of the best owners come first, so that
-// the first page holds those that every node must know.
+// rowName returns the name of the member's row. Rows sort by descending power, so that the
+// first page holds the succession.
 func (m Member) rowName() string {
-	weakness := max(0, mostPower-int(math.Round(1000*m.Power)))
-	return fmt.Sprintf("%06d %s", weakness, m.Node)
+	order := max(0, maxOrderedPower-int(math.Round(1000*m.Power)))
+	return fmt.Sprintf("%06d %s", order, m.Node)
 }
 
-// register has the node's row written, so that owners find it, and reads those of the succession.
+// register writes the node's row, by which owners find it, and reads the succession. It retries
+// until that succeeds.
 func (n *Node) register(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := n.enrol(ctx)
+		err := n.registerOnce(ctx)
 		if err == nil {
 			n.storeAnswers()
 			n.mu.Lock()
@@ -48,41 +50,42 @@
 			return
 		}
 		n.storeFails(err)
-		wait.For(ctx, registerWait)
+		wait.For(ctx, storeRetryDelay)
 	}
 }
 
-// enrol reads the succession, and writes the node's row if it is not there as it should be. A node
-// that begins again finds it: all rows are of one partition, whose transactions take turns, and when
-// all nodes of a large deployment begin again at once the last of their writes would take seconds.
-func (n *Node) enrol(ctx context.Context) error {
+// registerOnce reads the succession, and writes the node's row unless an equal one exists. A
+// restarted node finds its row: the rows share one partition, whose transactions are
+// serialized, so that writes by all nodes of a large deployment at once would take seconds.
+func (n *Node) registerOnce(ctx context.Context) error {
 	ctx, cancel := transfer.WithStallLimit(ctx, storeTimeout, nil)
 	defer cancel()
 	store := n.platform.Store
 	put := rowstore.Put{Key: rowstore.Key{Table: nodesTable, Name: n.config.Self.rowName()}, Value: codec.MustMarshal(n.config.Self)}
-	first, err := store.Read(ctx, nodesTable, "", "", succession)
+	page, err := store.Read(ctx, nodesTable, "", "", succession)
 	if err != nil {
 		return err
 	}
-	standing, err := isStanding(ctx, store, first.Rows, put)
+	current, err := rowIsCurrent(ctx, store, page.Rows, put)
 	if err != nil {
 		return err
 	}
-	if !standing {
+	if !current {
 		if _, err = store.Commit(ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
 			return err
 		}
-		if first, err = store.Read(ctx, nodesTable, "", "", succession); err != nil {
+		if page, err = store.Read(ctx, nodesTable, "", "", succession); err != nil {
 			return err
 		}
 	}
-	n.setMembers(byName(first.Rows))
+	n.setMembers(indexByName(page.Rows))
 	return nil
 }
 
-// isStanding reports whether a row is there, among some that were read or by itself.
-func isStanding(ctx context.Context, store rowstore.Store, read []rowstore.Row, put rowstore.Put) (bool, error) {
-	row, found := byName(read)[put.Key.Name]
+// rowIsCurrent reports whether the store holds the row that put would write. It reads the row
+// from the store unless it is among those already read.
+func rowIsCurrent(ctx context.Context, store rowstore.Store, read []rowstore.Row, put rowstore.Put) (bool, error) {
+	row, found := indexByName(read)[put.Key.Name]
 	if !found {
 		var err error
 		if row, err = rowstore.ReadOne(ctx, store, put.Key); err != nil {
@@ -92,12 +95,12 @@
 	return row.Version != 0 && bytes.Equal(row.Value, put.Value), nil
 }
 
-func byName(rows []rowstore.Row) map[string]rowstore.Row {
-	named := make(map[string]rowstore.Row, len(rows))
+func indexByName(rows []rowstore.Row) map[string]rowstore.Row {
+	rowsByName := make(map[string]rowstore.Row, len(rows))
 	for _, row := range rows {
-		named[row.Name] = row
+		rowsByName[row.Name] = row
 	}
-	return named
+	return rowsByName
 }
 
 func (n *Node) setMembers(rows map[string]rowstore.Row) {
@@ -106,14 +109,14 @@
 	for _, row := range rows {
 		var member Member
 		if err := codec.Unmarshal(row.Value, &member); err != nil {
-			n.log.Error().Str("node", row.Name).Err(err).Msg("row of a node cannot be read")
+			n.log.Error().Str("node", row.Name).Err(err).Msg("cannot decode a node's row")
 			continue
 		}
 		n.addMember(member)
 	}
 }
 
-// addMember notes a member. The lock is held.
+// addMember adds or updates a member. n.mu must be held.
 func (n *Node) addMember(member Member) {
 	if n.members[member.Node] != member {
 		n.members[member.Node] = member
@@ -121,28 +124,28 @@
 	}
 }
 
-// ranked returns all members, the best owner first. The lock is held.
+// ranked returns all members, the best owner first. n.mu must be held.
 func (n *Node) ranked() []Member {
-	if n.rankedAt != n.memberSerial {
+	if n.rankedVersion != n.memberSerial {
 		n.rankedMembers = slices.SortedFunc(maps.Values(n.members), Member.compare)
-		n.rankedAt = n.memberSerial
+		n.rankedVersion = n.memberSerial
 	}
 	return n.rankedMembers
 }
 
-// tellSuccession returns the members that every node is told, and a serial that rises with each
-// change of them. The lock is held.
-func (n *Node) tellSuccession() ([]Member, uint64) {
+// currentSuccession returns the succession as sent to the nodes, and its version, which is
+// incremented with each change. n.mu must be held.
+func (n *Node) currentSuccession() ([]Member, uint64) {
 	ranked := n.ranked()
 	first := ranked[:min(len(ranked), succession)]
-	if !slices.Equal(first, n.told) {
-		n.told = slices.Clone(first)
-		n.toldSerial++
+	if !slices.Equal(first, n.announced) {
+		n.announced = slices.Clone(first)
+		n.announcedVersion++
 	}
-	return n.told, n.toldSerial
+	return n.announced, n.announcedVersion
 }
 
-// others returns the other members by name. The lock is held.
+// others returns the other members, sorted by name. n.mu must be held.
 func (n *Node) others() []Member {
 	list := make([]Member, 0, len(n.members))
 	for name, member := range n.members {
@@ -154,7 +157,7 @@
 	return list
 }
 
-// setLanes tells the scheduler from which nodes advice can be asked.
+// setLanes gives the scheduler the nodes from which it can request advice.
 func (n *Node) setLanes() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -172,7 +175,7 @@
 	n.own.SetLanes(lanes)
 }
 
-// remoteAdvisor asks for advice from another node.
+// remoteAdvisor requests advice from another node.
 type remoteAdvisor struct {
 	node    *Node
 	address string
--- a/node/node.go
+++ b/node/node.go
@@ -18,35 +18,36 @@
 	"chutereach/wait"
 )
 
-// Config is what a node goes by.
+// Config configures a Node.
 type Config struct {
 	Self      Member
 	Scheduler scheduler.Config
-	// Owns, if given, is told whether this node owns the shard, at each change.
+	// Owns, if not nil, is called with whether this node owns the shard, at each change.
 	Owns func(bool)
 }
 
-func (c Config) owns(now bool) {
+func (c Config) notifyOwnership(now bool) {
 	if c.Owns != nil {
 		c.Owns(now)
 	}
 }
 
-// Platform is what a node needs of the platform beneath it.
+// Platform holds the services that a node depends on.
 type Platform struct {
 	Store   rowstore.Store
 	Workers fleet.Client
 	Advisor fleet.Advisor
-	// FollowWorkers calls changed with the workers that discovery names, after
-	// the first read and after each change, until ctx ends.
+	// FollowWorkers calls changed with the workers known to discovery, after the first read and
+	// after each change, until ctx ends.
 	FollowWorkers func(ctx context.Context, changed func([]fleet.Worker))
-	// FollowOrders calls changed with each table of routes and evacuated, after each answer of
-	// the store, with the data halls that are evacuated, until ctx ends. It tells reach how its
-	// calls to the store go.
+	// FollowOrders calls changed with each table of routes, and evacuated with the evacuated
+	// data halls after each answer of the store, until ctx ends. It reports the progress of its
+	// calls to the store to reach.
 	FollowOrders func(ctx context.Context, changed func(routing.Table), evacuated func(evacuation.View), reach rowstore.Reach)
 }
 
-// Node is one machine of the system.
+// Node is a member of the cluster. It takes part in choosing the owner of the shard, and runs
+// the shard while it is the owner.
 type Node struct {
 	config   Config
 	platform Platform
@@ -54,68 +55,70 @@
 	log      zerolog.Logger
 	metrics  *Metrics
 	routes   routing.Newest
-	// evacuations are the data halls that the operator has evacuated.
+	// evacuations holds the data halls that the operator has evacuated.
 	evacuations evacuation.Newest
 
-	mu     sync.Mutex
-	owner  ownership // the one with the highest token that was heard of
-	beatAt time.Time // when the owner was last heard; zero if it is doubted
-	// beatNext is how long after beatAt the owner should be heard again.
-	beatNext time.Duration
-	ownedAt  time.Time // when any owner was last heard
-	toldAt   time.Time // when the last heartbeat came
-	changed  chan struct{}
-	members  map[string]Member
-	peers    map[string]peerState
-	// memberSerial counts changes of members; rankedMembers are all of them as of rankedAt, the
-	// best owner first.
-	memberSerial, rankedAt uint64
-	rankedMembers          []Member
-	// told are the members of the succession, which an owner tells each node once for each change
-	// of them; toldSerial counts those.
-	told       []Member
-	toldSerial uint64
-	// plan is which nodes relay the operator's orders, as of the serial planAt; nil: to be made.
-	plan     *relayPlan
-	planAt   uint64
-	own      *scheduler.Scheduler // while this node owns the shard
-	ownSince time.Time
-	// calmSince is since when this owner's timers are in time, and wasCalm whether
-	// they have been for a while in this term.
-	calmSince time.Time
-	wasCalm   bool
-	// handOverAt is when a handover may be tried next, and handingOver whether one is under way.
-	handOverAt  time.Time
-	handingOver bool
-	endOwn      context.CancelFunc
-	storeOK     time.Time
-	storeBad    bool
-	stopping    bool
-	registered  bool        // the rows of the succession were read
-	taking      bool        // a takeover is under way: the row may name this node already
-	loadFails   atomic.Bool // the store does not let this owner load the shard
+	mu           sync.Mutex
+	owner        ownership // the known owner with the highest token
+	ownerHeardAt time.Time // when the owner was last heard from; zero to have it checked at once
+	// nextHeartbeatIn is how long after ownerHeardAt the owner's next heartbeat is due.
+	nextHeartbeatIn     time.Duration
+	anyOwnerHeardAt     time.Time     // when any owner was last heard from
+	heartbeatReceivedAt time.Time     // when the last heartbeat arrived
+	changed             chan struct{} // closed and replaced when the owner changes
+	members             map[string]Member
+	peers               map[string]peerState
+	// memberSerial is incremented with each change of members. rankedMembers holds all members
+	// as of rankedVersion, the best owner first.
+	memberSerial, rankedVersion uint64
+	rankedMembers               []Member
+	// announced is the succession that an owner sends to each node once per change.
+	// announcedVersion is incremented with each change.
+	announced        []Member
+	announcedVersion uint64
+	// plan assigns the relays of the operator's orders, as of memberSerial planAt. It is nil
+	// when it must be computed anew.
+	plan          *relayPlan
+	planAt        uint64
+	own           *scheduler.Scheduler // nil unless this node owns the shard
+	termStartedAt time.Time
+	// lagNormalSince is when this owner's timer lag last became normal, or zero while it is
+	// high. lagWasNormal is whether it has been normal for lagNormalPeriod during this term.
+	lagNormalSince time.Time
+	lagWasNormal   bool
+	// nextHandoverAt is the earliest time of the next handover. handingOver is whether one is
+	// in progress.
+	nextHandoverAt  time.Time
+	handingOver     bool
+	cancelTerm      context.CancelFunc
+	storeAnsweredAt time.Time
+	storeBad        bool
+	stopping        bool
+	registered      bool        // the node's row is written and the succession read
+	takingOver      bool        // a takeover is in progress; the owner's row may already name this node
+	loadFails       atomic.Bool // the last attempt to load the shard failed
 
-	tables tableExchange
-	orders orderExchange
-	lag    lagMeter
-	speed  speedMeter
-	takeMu sync.Mutex // one takeover at a time
-	ctx    context.Context
-	tasks  wait.Group
+	tables     tableExchange
+	orders     orderExchange
+	lag        lagMeter
+	speed      speedMeter
+	takeoverMu sync.Mutex // serializes takeovers
+	ctx        context.Context
+	tasks      wait.Group
 }
 
-// peerState is what the owner has heard of a node.
+// peerState is what the owner knows about another node.
 type peerState struct {
-	heard   time.Time
-	storeOK bool
-	lag     time.Duration // its mean lateness
-	lost    bool
-	failed  time.Time
-	relays  bool   // it is a relay, and ready
-	told    uint64 // the serial of the succession that it has been told
+	heardAt           time.Time
+	storeOK           bool
+	lag               time.Duration // mean timer lag
+	lost              bool
+	failedAt          time.Time
+	relays            bool   // whether it serves as a relay and is ready
+	successionVersion uint64 // the version of the succession last sent to it
 }
 
-// New returns a Node that may answer calls until ctx ends; Run makes it live.
+// New returns a Node that answers calls until ctx ends. Run starts its background work.
 func New(ctx context.Context, config Config, platform Platform, client *peer.Client, metrics *Metrics, log zerolog.Logger) *Node {
 	n := &Node{
 		ctx: ctx, config: config, platform: platform, client: client, log: log, metrics: metrics,
@@ -128,30 +131,30 @@
 	return n
 }
 
-// Run lives until New's ctx ends.
+// Run runs the node's background work until the context given to New ends.
 func (n *Node) Run() {
 	ctx := n.ctx
 	n.tasks.Go(func() { n.followOrders(ctx) })
 	n.tasks.Go(func() { n.register(ctx) })
 	n.tasks.Go(func() { n.watchOwner(ctx) })
-	n.tasks.Go(func() { n.beatLoop(ctx) })
-	n.tasks.Go(func() { n.fitnessLoop(ctx) })
-	n.tasks.Go(func() { n.storeLoop(ctx) })
-	n.tasks.Go(func() { n.tidyLoop(ctx) })
+	n.tasks.Go(func() { n.heartbeatLoop(ctx) })
+	n.tasks.Go(func() { n.lagCheckLoop(ctx) })
+	n.tasks.Go(func() { n.storeCheckLoop(ctx) })
+	n.tasks.Go(func() { n.membershipLoop(ctx) })
 	n.tasks.Go(func() { n.lag.run(ctx, &n.speed) })
 	<-ctx.Done()
 	n.tasks.Close()
 	n.client.Close()
 }
 
-// Routes returns the table of routes in force.
+// Routes returns the current table of routes.
 func (n *Node) Routes() (routing.Table, bool) { return n.routes.Current() }
 
-// storeAnswers and storeFails note whether the store can be reached.
+// storeAnswers and storeFails record whether the store can be reached.
 func (n *Node) storeAnswers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.storeOK = time.Now()
+	n.storeAnsweredAt = time.Now()
 	if n.storeBad {
 		n.storeBad = false
 		n.log.Info().Msg("store answers again")
@@ -167,28 +170,29 @@
 	}
 }
 
-// storeFresh is how recent an answer of the store must be for a node to count as
-// reaching it: a feed without news answers about this often.
-const storeFresh = 3 * time.Second
+// storeContactTTL is how recent the last answer of the store must be for a node to count as
+// reaching it. An idle feed answers about this often.
+const storeContactTTL = 3 * time.Second
 
-// reachesStore reports whether the store answers this node, as far as is known. One that has its orders
-// from a relay has not asked of late; it is asked once more before it is given the shard.
+// reachesStore reports whether the store is believed to answer this node. A node whose orders
+// come from a relay may not have called the store recently; it is probed before it is given the
+// shard. n.mu must be held.
 func (n *Node) reachesStore() bool {
-	return !n.storeBad && (time.Since(n.storeOK) < storeFresh || n.orders.relayed())
+	return !n.storeBad && (time.Since(n.storeAnsweredAt) < storeContactTTL || n.orders.relayed())
 }
 
-// beatLate is by how much a heartbeat is late, at the least, when its owner is asked and its row
-// watched. An owner that is only late answers. beatShare is the same as a share of the time in which
-// the next one comes: a node that seldom hears of its owner would else ask after most of them.
+// beatLate and heartbeatLateShare set how late a heartbeat must be, as a minimum and as a share
+// of its interval, before the owner is pinged and its row watched. The share keeps nodes with
+// long intervals from pinging the owner after most heartbeats.
 const (
-	beatLate  = 50 * time.Millisecond
-	beatShare = 0.125
+	beatLate           = 50 * time.Millisecond
+	heartbeatLateShare = 0.125
 )
 
-// overdue returns after what time without a heartbeat its owner is asked, if the next one was to
-// come in a time.
+// overdue returns how long after the last heartbeat the owner is checked, given the interval
+// until the next one.
 func overdue(next time.Duration) time.Duration {
-	return next + max(beatLate, time.Duration(beatShare*float64(next)))
+	return next + max(beatLate, time.Duration(heartbeatLateShare*float64(next)))
 }
 
 // Ready returns nil if the node can serve callers.
@@ -201,25 +205,25 @@
 	if n.stopping {
 		return &StoppingError{}
 	}
-	if n.own == nil && time.Since(n.ownedAt) > unreadyAfter {
+	if n.own == nil && time.Since(n.anyOwnerHeardAt) > unreadyAfter {
 		return &NotOwnerError{}
 	}
 	return nil
 }
 
-// unreadyAfter is how long a node without word from an owner still counts as
-// ready; a takeover fits in it.
+// unreadyAfter is how long a node that hears from no owner still counts as ready. It exceeds
+// the duration of a takeover.
 const unreadyAfter = 4 * time.Second
 
-// StoppingError says that the node is about to stop.
+// StoppingError reports that the node is shutting down.
 type StoppingError struct{}
 
 func (e *StoppingError) Error() string { return "this node is stopping" }
 
-// Mux answers the calls of the other nodes.
+// Mux returns the handler of the calls from other nodes.
 func (n *Node) Mux() http.Handler {
 	mux := http.NewServeMux()
-	peer.Handle(mux, beatPath, n.takeBeat)
+	peer.Handle(mux, beatPath, n.handleHeartbeat)
 	peer.Handle(mux, pingPath, n.answerPing)
 	peer.Handle(mux, takeoverPath, n.answerTakeover)
 	peer.Handle(mux, submitPath, n.answerSubmit)
@@ -232,8 +236,8 @@
 	return mux
 }
 
-// Stop hands the shard over, if this node owns it, so that callers do not wait
-// for a successor to notice. The node still answers until Run's ctx ends.
+// Stop hands the shard over if this node owns it, so that callers need not wait until a
+// successor detects the loss. The node still answers calls until the context given to New ends.
 func (n *Node) Stop(ctx context.Context) {
 	n.mu.Lock()
 	n.stopping = true
@@ -244,18 +248,19 @@
 		return
 	}
 	n.mu.Lock()
-	n.handOverAt = time.Time{}
+	n.nextHandoverAt = time.Time{}
 	n.mu.Unlock()
 	own.Pause()
 	wait.For(ctx, pauseBeforeHandover)
 	n.handOver(ctx, "this node is stopping", anySuccessor)
-	own.Resume() // without a successor it goes on to the end
+	own.Resume() // if no successor took the shard, this node runs it until it exits
 }
 
-// pauseBeforeHandover lets starts and transactions under way end.
+// pauseBeforeHandover gives starts and transactions in progress time to finish.
 const pauseBeforeHandover = 50 * time.Millisecond
 
-// AccountUsage returns what client accounts have of the shard, if this node owns it.
+// AccountUsage returns each client account's usage of the shard, or nil if this node does not
+// own it.
 func (n *Node) AccountUsage() []scheduler.AccountUsage {
 	n.mu.Lock()
 	own := n.own
@@ -266,7 +271,7 @@
 	return own.AccountUsage()
 }
 
-// Owns reports whether this node owns the shard, as far as it knows.
+// Owns reports whether this node believes that it owns the shard.
 func (n *Node) Owns() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/owner.go
+++ b/node/owner.go
@@ -14,136 +14,141 @@
 )
 
 const (
-	nodesTable = "nodes"
-	lookEvery  = 50 * time.Millisecond
-	// farLook is how often, at the least, a node beyond the succession looks for an owner. Others
-	// take the shard before it tries; if each looked as often as they do, the store would have to
-	// answer as many times more as there are nodes.
-	farLook      = 800 * time.Millisecond
-	pingTimeout  = 150 * time.Millisecond
-	storeTimeout = 1500 * time.Millisecond
-	// unchangedFor is how long the row of an owner that answers nothing must stay as it
-	// is for the owner to count as dead; owners write each 250 ms at least. A wrong guess
-	// costs a takeover, and no promise.
-	unchangedFor = 350 * time.Millisecond
-	rankDelay    = 120 * time.Millisecond
-	maxRank      = 12
-	// firstQuiet is for how long nothing may come of a shard's rows while they are read
-	// for the first time, and mostQuiet any time; a slow store needs the longer ones.
-	firstQuiet = 1500 * time.Millisecond
-	mostQuiet  = 3 * time.Second
-	// loadFailing is after how long without success a load is left to another node.
-	loadFailing  = 300 * time.Millisecond
-	registerWait = 200 * time.Millisecond
-	// holdTimeout is how long a handover waits for a transaction under way; a
-	// store that does not answer keeps it for longer.
+	nodesTable         = "nodes"
+	ownerCheckInterval = 50 * time.Millisecond
+	// maxOwnerCheckInterval is the longest interval between the owner checks of a node outside
+	// the succession. Such nodes back off so that the load on the store does not grow with
+	// their number.
+	maxOwnerCheckInterval = 800 * time.Millisecond
+	pingTimeout           = 150 * time.Millisecond
+	storeTimeout          = 1500 * time.Millisecond
+	// ownerStaleAfter is how long the row of an unresponsive owner must stay unchanged before
+	// the owner is presumed dead. Owners write the row at least every 250 ms. A false positive
+	// costs a takeover but loses no accepted job.
+	ownerStaleAfter = 350 * time.Millisecond
+	rankDelay       = 120 * time.Millisecond
+	maxDelayedRank  = 12
+	// initialStallLimit is the stall limit of the first attempt to load the shard. It doubles
+	// with each failed attempt, up to maxStallLimit.
+	initialStallLimit = 1500 * time.Millisecond
+	maxStallLimit     = 3 * time.Second
+	// loadHandoverAfter is how long a failing load is retried before the node tries to hand the
+	// shard over.
+	loadHandoverAfter = 300 * time.Millisecond
+	storeRetryDelay   = 200 * time.Millisecond
+	// holdTimeout bounds how long a handover waits for the transaction in progress.
 	holdTimeout = 200 * time.Millisecond
-	// failingHold is the same where the store has failed for a while: the transaction
-	// under way would not end, and fails once the successor has taken the shard.
-	failingHold = 10 * time.Millisecond
-	// quickLook is how quickly the store must answer a successor, and handoverTimeout
-	// how long one successor is waited for.
+	// failingStoreHoldTimeout replaces holdTimeout while the store is failing: the transaction
+	// in progress would not finish, and it is rejected once the successor has taken the shard.
+	failingStoreHoldTimeout = 10 * time.Millisecond
+	// quickLook is how quickly the store must answer a prospective successor. handoverTimeout
+	// bounds each call to a successor.
 	quickLook = 150 * time.Millisecond
-	// promptLook is the same where the owner has waited for the store for a short time only, and
-	// the store may be slow for all.
-	promptLook      = 50 * time.Millisecond
-	handoverTimeout = 700 * time.Millisecond
-	// maxSuccessors bounds the nodes that a handover asks, and handoverPause follows it.
-	maxSuccessors = 4
-	handoverPause = 800 * time.Millisecond
-	// successorTries is how often a successor tries to take a shard that still changes.
-	successorTries = 3
+	// shortProbeTimeout replaces quickLook when the store has failed the owner only briefly and
+	// may be slow for every node.
+	shortProbeTimeout = 50 * time.Millisecond
+	handoverTimeout   = 700 * time.Millisecond
+	// maxSuccessors bounds the nodes asked during one handover. handoverRetryDelay is the
+	// minimum time between handover attempts.
+	maxSuccessors      = 4
+	handoverRetryDelay = 800 * time.Millisecond
+	// maxTakeoverAttempts is how often a successor tries to take a shard whose owner row keeps
+	// changing.
+	maxTakeoverAttempts = 3
 )
 
-// watchOwner takes the shard when its owner is gone. It waits until the members are known:
-// without them each node is the first in the order of succession, and when all 147 nodes of
-// a deployment came back at once, eight of them took the shard within 0.1 s, weak ones all.
+// watchOwner takes the shard when its owner is gone. It does nothing until the members are
+// known: without them, every node would rank itself first and try to take the shard at the same
+// time.
 func (n *Node) watchOwner(ctx context.Context) {
-	var d doubt
-	var looks lookPace
+	var suspicion ownerSuspicion
+	var pacer ownerCheckPacer
 	for ctx.Err() == nil {
-		wait.For(ctx, lookEvery)
+		wait.For(ctx, ownerCheckInterval)
 		n.mu.Lock()
-		quiet := n.own != nil || n.stopping || !n.registered || time.Since(n.beatAt) < overdue(n.beatNext)
+		skip := n.own != nil || n.stopping || !n.registered || time.Since(n.ownerHeardAt) < overdue(n.nextHeartbeatIn)
 		owner := n.owner
 		n.mu.Unlock()
-		if quiet {
-			d = doubt{}
+		if skip {
+			suspicion = ownerSuspicion{}
 			continue
 		}
-		if looks.due(time.Now(), n.succeeds()) {
-			n.examine(ctx, &d, owner)
+		if pacer.due(time.Now(), n.inSuccession()) {
+			n.checkOwner(ctx, &suspicion, owner)
 		}
 	}
 }
 
-// lookPace spaces the looks of a node for an owner.
-type lookPace struct {
-	last  time.Time
-	pause time.Duration // until the next look of a node beyond the succession
+// ownerCheckPacer limits how often a node checks whether the shard has an owner.
+type ownerCheckPacer struct {
+	last     time.Time
+	interval time.Duration // current minimum interval for a node outside the succession
 }
 
-// due reports whether a node looks now, and counts on it to do so. Between looks of a node beyond
-// the succession the time doubles, until it has needed none for a while.
-func (p *lookPace) due(now time.Time, succeeds bool) bool {
+// due reports whether to check now, and if so records the check. For a node outside the
+// succession the interval doubles with each check, and is reset once no check was needed for
+// twice the maximum interval.
+func (p *ownerCheckPacer) due(now time.Time, inSuccession bool) bool {
 	since := now.Sub(p.last)
 	switch {
-	case succeeds:
+	case inSuccession:
 		return true
-	case since > 2*farLook:
-		p.pause = lookEvery
-	case since < p.pause:
+	case since > 2*maxOwnerCheckInterval:
+		p.interval = ownerCheckInterval
+	case since < p.interval:
 		return false
 	default:
-		p.pause = min(farLook, 2*p.pause)
+		p.interval = min(maxOwnerCheckInterval, 2*p.interval)
 	}
 	p.last = now
 	return true
 }
 
-// succeeds reports whether the node is of the succession, as far as it knows.
-func (n *Node) succeeds() bool {
+// inSuccession reports whether the node is in the succession, given the members it knows.
+func (n *Node) inSuccession() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rank("") < nearMost
 }
 
-// rank returns how many members would own the shard before this node, but for one. The lock is
-// held.
-func (n *Node) rank(but string) int {
+// rank returns how many members, other than exclude, precede this node in the order of
+// succession. n.mu must be held.
+func (n *Node) rank(exclude string) int {
 	rank := 0
 	for _, member := range n.members {
-		if member.Node != but && member.compare(n.config.Self) < 0 {
+		if member.Node != exclude && member.compare(n.config.Self) < 0 {
 			rank++
 		}
 	}
 	return rank
 }
 
-// doubt is what a node has seen of an owner that it does not hear.
-type doubt struct {
-	version uint64    // of the owner's row
-	since   time.Time // when the row was first seen at that version
-	silent  int       // how often the owner was asked since then and did not answer
+// ownerSuspicion is the evidence that an owner without recent heartbeats is dead.
+type ownerSuspicion struct {
+	version         uint64    // version of the owner's row
+	unchangedSince  time.Time // when the row was first seen at this version
+	unansweredPings int       // pings without an answer since then
 }
 
-// stands reports whether the row has not changed for so long that its owner is gone.
-func (d doubt) stands(now time.Time) bool { return now.Sub(d.since) >= unchangedFor }
+// isStale reports whether the row has been unchanged for long enough to presume its owner dead.
+func (s ownerSuspicion) isStale(now time.Time) bool {
+	return now.Sub(s.unchangedSince) >= ownerStaleAfter
+}
 
-// enoughAsked is how often an owner is asked: one that was silent so often is not waited for once
-// more when its row stands.
-const enoughAsked = 2
+// maxOwnerPings is the number of unanswered pings after which checkOwner relies on the row
+// alone.
+const maxOwnerPings = 2
 
-// examine asks the owner and the store, and takes the shard if both say that
-// nobody owns it.
-func (n *Node) examine(ctx context.Context, d *doubt, owner ownership) {
+// checkOwner pings the owner and reads its row, and takes the shard if neither shows a live
+// owner.
+func (n *Node) checkOwner(ctx context.Context, suspicion *ownerSuspicion, owner ownership) {
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	asked := make(chan verdict, 1)
-	if d.silent < enoughAsked {
-		n.tasks.Go(func() { asked <- n.askOwner(callCtx, owner) })
+	statuses := make(chan ownerStatus, 1)
+	if suspicion.unansweredPings < maxOwnerPings {
+		n.tasks.Go(func() { statuses <- n.pingOwner(callCtx, owner) })
 	} else {
-		asked <- ownerSaysNothing
+		statuses <- ownerUnknown
 	}
 	seen, err := leadership.Look(callCtx, n.platform.Store, n.config.Scheduler.Shard)
 	if err != nil {
@@ -152,51 +157,52 @@
 	}
 	n.storeAnswers()
 	now := time.Now()
-	if seen.Version != d.version {
-		*d = doubt{version: seen.Version, since: now}
+	if seen.Version != suspicion.version {
+		*suspicion = ownerSuspicion{version: seen.Version, unchangedSince: now}
 	}
-	seen.Since = d.since
-	var said verdict
+	seen.Since = suspicion.unchangedSince
+	var status ownerStatus
 	select {
-	case said = <-asked:
+	case status = <-statuses:
 	case <-callCtx.Done():
 		return
 	}
-	if said == ownerAlive {
+	if status == ownerAlive {
 		return
 	}
-	if said == ownerSaysNothing {
-		d.silent++
+	if status == ownerUnknown {
+		suspicion.unansweredPings++
 	}
 	if seen.Version != 0 && seen.Address != owner.Address && seen.Node != n.config.Self.Node {
-		if said = n.askOwner(ctx, ownership{seen.Node, seen.Address, 0}); said == ownerAlive {
+		if status = n.pingOwner(ctx, ownership{seen.Node, seen.Address, 0}); status == ownerAlive {
 			return
 		}
 	}
-	gone := said == ownerGone || seen.Version == 0 || seen.Node == n.config.Self.Node
-	if !gone && !d.stands(now) {
+	gone := status == ownerGone || seen.Version == 0 || seen.Node == n.config.Self.Node
+	if !gone && !suspicion.isStale(now) {
 		return
 	}
-	if !n.myTurn(ctx, seen) {
+	if !n.waitTurn(ctx, seen) {
 		return
 	}
 	n.lose(seen.Node)
-	n.take(ctx, seen, "the owner "+seen.Node+" is silent")
+	n.takeOwnership(ctx, seen, "the owner "+seen.Node+" is silent")
 }
 
-// verdict is what asking an owner came to.
-type verdict int
+// ownerStatus is the outcome of pinging an owner.
+type ownerStatus int
 
 const (
-	ownerSaysNothing verdict = iota
-	ownerAlive               // there is an owner that answers
-	ownerGone                // the node answers that it owns nothing, or its machine that nobody listens
+	ownerUnknown ownerStatus = iota
+	ownerAlive               // the node answers that it owns the shard
+	ownerGone                // the node answers that it is not the owner, or its machine refuses the connection
 )
 
-// askOwner asks the node that is believed to own the shard.
-func (n *Node) askOwner(ctx context.Context, owner ownership) verdict {
+// pingOwner asks a node whether it owns the shard. It records any newer owner that the answer
+// names.
+func (n *Node) pingOwner(ctx context.Context, owner ownership) ownerStatus {
 	if owner.Address == "" {
-		return ownerSaysNothing
+		return ownerUnknown
 	}
 	callCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -205,56 +211,56 @@
 	case err != nil && isRefused(err):
 		return ownerGone
 	case err != nil:
-		return ownerSaysNothing
+		return ownerUnknown
 	case answer.Owns:
-		n.heard(answer.Owner, beatEvery)
+		n.ownerHeard(answer.Owner, beatEvery)
 		return ownerAlive
 	case answer.Owner.Token > owner.Token && owner.Token != 0 && answer.Owner.Address != owner.Address:
-		n.believe(answer.Owner)
-		return ownerSaysNothing
+		n.learnOwner(answer.Owner)
+		return ownerUnknown
 	}
 	return ownerGone
 }
 
-// doubtOwner has the owner examined at once: its machine refuses connections.
+// doubtOwner schedules an immediate check of an owner whose machine refuses connections.
 func (n *Node) doubtOwner(owner ownership) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.owner == owner && n.own == nil {
-		n.beatAt = time.Time{}
+		n.ownerHeardAt = time.Time{}
 	}
 }
 
-// myTurn waits so that nodes try one after the other, and tells whether there is
-// still no owner.
-func (n *Node) myTurn(ctx context.Context, seen leadership.Sighting) bool {
+// waitTurn delays this node by its rank, so that nodes try to take the shard one after another.
+// It reports whether the shard still has no owner afterwards.
+func (n *Node) waitTurn(ctx context.Context, seen leadership.Sighting) bool {
 	n.mu.Lock()
 	rank := n.rank(seen.Node)
 	n.mu.Unlock()
 	begun := time.Now()
-	wait.For(ctx, time.Duration(min(rank, maxRank))*rankDelay)
+	wait.For(ctx, time.Duration(min(rank, maxDelayedRank))*rankDelay)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return ctx.Err() == nil && n.own == nil && !n.stopping && n.beatAt.Before(begun)
+	return ctx.Err() == nil && n.own == nil && !n.stopping && n.ownerHeardAt.Before(begun)
 }
 
-// lose counts a node as lost until it answers a heartbeat, so that nothing waits for it.
+// lose marks a node as lost until it answers a heartbeat, so that calls do not wait for it.
 func (n *Node) lose(node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.peers[node] = peerState{lost: true, failed: time.Now()}
+	n.peers[node] = peerState{lost: true, failedAt: time.Now()}
 }
 
-// take makes this node the owner, if the row still is as it was seen.
-func (n *Node) take(ctx context.Context, seen leadership.Sighting, why string) error {
-	n.takeMu.Lock()
-	defer n.takeMu.Unlock()
+// takeOwnership makes this node the owner unless the owner's row has changed since it was seen.
+func (n *Node) takeOwnership(ctx context.Context, seen leadership.Sighting, why string) error {
+	n.takeoverMu.Lock()
+	defer n.takeoverMu.Unlock()
 	n.mu.Lock()
-	owns, stopping := n.own != nil, n.stopping
-	n.taking = true
+	isOwner, stopping := n.own != nil, n.stopping
+	n.takingOver = true
 	n.mu.Unlock()
-	defer n.endTaking()
-	if owns {
+	defer n.endTakeover()
+	if isOwner {
 		return nil
 	}
 	if stopping {
@@ -266,31 +272,31 @@
 	self := n.config.Self
 	term, err := leadership.Take(callCtx, n.platform.Store, n.config.Scheduler.Shard, self.Node, self.Address, seen)
 	if err != nil {
-		n.log.Info().Err(err).Str("why", why).Msg("shard not taken")
+		n.log.Info().Err(err).Str("why", why).Msg("takeover of the shard failed")
 		return err
 	}
 	n.storeAnswers()
 	n.log.Info().Uint64("token", term.Token()).Uint64("from", seen.Version).Str("why", why).Msg("shard taken")
-	n.heard(ownership{self.Node, self.Address, term.Token()}, beatEvery)
-	n.rule(term, begun)
+	n.ownerHeard(ownership{self.Node, self.Address, term.Token()}, beatEvery)
+	n.startTerm(term, begun)
 	return nil
 }
 
-func (n *Node) endTaking() {
+func (n *Node) endTakeover() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.taking = false
+	n.takingOver = false
 }
 
-// rule runs the shard in the background until the term ends.
-func (n *Node) rule(term *leadership.Term, begun time.Time) {
+// startTerm loads and runs the shard in the background until the term ends.
+func (n *Node) startTerm(term *leadership.Term, startedAt time.Time) {
 	ctx, cancel := context.WithCancel(n.ctx)
 	own := scheduler.New(n.config.Scheduler, n.platform.Store, n.platform.Workers, term, n.metrics.Scheduler, n.log)
 	n.mu.Lock()
-	n.own, n.endOwn, n.ownSince = own, cancel, time.Now()
+	n.own, n.cancelTerm, n.termStartedAt = own, cancel, time.Now()
 	n.mu.Unlock()
-	n.config.owns(true)
-	n.announce(allNodes)
+	n.config.notifyOwnership(true)
+	n.sendHeartbeats(allNodesTurn)
 	loaded := make(chan struct{})
 	n.tasks.Go(func() { n.platform.FollowWorkers(ctx, afterLoad(ctx, loaded, own.SetWorkers)) })
 	n.tasks.Go(func() { n.followMembers(ctx) })
@@ -298,29 +304,28 @@
 		defer cancel()
 		err := n.load(ctx, own)
 		if err == nil {
-			n.log.Info().Uint64("token", term.Token()).Dur("took", time.Since(begun)).Msg("shard loaded")
+			n.log.Info().Uint64("token", term.Token()).Dur("took", time.Since(startedAt)).Msg("shard loaded")
 			n.setLanes()
 			close(loaded)
 			close(own.Loaded)
 			err = own.Run(ctx)
 		}
 		n.mu.Lock()
-		over := n.own == own
-		if over {
-			n.own, n.endOwn = nil, nil
+		current := n.own == own
+		if current {
+			n.own, n.cancelTerm = nil, nil
 		}
-		n.beatAt = time.Time{}
+		n.ownerHeardAt = time.Time{}
 		n.mu.Unlock()
-		if over {
-			n.config.owns(false)
+		if current {
+			n.config.notifyOwnership(false)
 		}
 		n.log.Info().Uint64("token", term.Token()).Err(err).Msg("term over")
 	})
 }
 
-// afterLoad has a list of workers wait until the shard is loaded. Both are read from the store at
-// the same time: one after the other, the workers of a large deployment took as long as the rows,
-// and no end was heard of meanwhile.
+// afterLoad returns a function that passes a list of workers to set once the shard is loaded.
+// It lets workers and rows be read from the store concurrently.
 func afterLoad(ctx context.Context, loaded <-chan struct{}, set func([]fleet.Worker)) func([]fleet.Worker) {
 	return func(list []fleet.Worker) {
 		select {
@@ -331,31 +336,31 @@
 	}
 }
 
-// followMembers keeps all members while this node owns the shard, and has each be told of its owner
-// as soon as it is known.
+// followMembers keeps all members up to date while this node owns the shard, and announces the
+// owner to them once the first read has succeeded.
 func (n *Node) followMembers(ctx context.Context) {
 	first := true
 	rowstore.Follow(ctx, n.platform.Store, nodesTable, "", func(rows map[string]rowstore.Row) {
 		n.setMembers(rows)
 		n.setLanes()
 		if first {
-			n.announce(allNodes)
+			n.sendHeartbeats(allNodesTurn)
 		}
 		first = false
 	}, rowstore.Reach{})
 }
 
-// load reads the shard's rows until that succeeds. A node that the store turns away
-// meanwhile hands the shard on; one that it answers quickly does not, as a shard that
-// takes long to read takes as long elsewhere.
+// load reads the shard's rows, and retries until that succeeds. If loading fails and the store
+// does not answer a quick probe either, it tries to hand the shard over. A node that the store
+// answers quickly keeps the shard, since loading would take as long elsewhere.
 func (n *Node) load(ctx context.Context, own *scheduler.Scheduler) error {
-	begun, quiet := time.Now(), firstQuiet
+	begun, stallLimit := time.Now(), initialStallLimit
 	n.loadFails.Store(false)
 	for {
-		callCtx, cancel := transfer.WithStallLimit(ctx, quiet, nil)
+		callCtx, cancel := transfer.WithStallLimit(ctx, stallLimit, nil)
 		err := own.Load(callCtx)
 		cancel()
-		quiet = min(mostQuiet, 2*quiet)
+		stallLimit = min(maxStallLimit, 2*stallLimit)
 		if err == nil {
 			n.loadFails.Store(false)
 			if table, ok := n.routes.Current(); ok {
@@ -365,10 +370,10 @@
 		}
 		n.loadFails.Store(true)
 		n.log.Warn().Err(err).Msg("shard cannot be loaded yet")
-		if time.Since(begun) > loadFailing && n.lookQuickly(ctx, quickLook) != nil {
-			n.handOver(ctx, "the store does not let this node load the shard", anySuccessor)
+		if time.Since(begun) > loadHandoverAfter && n.probeStore(ctx, quickLook) != nil {
+			n.handOver(ctx, "this node cannot load the shard from the store", anySuccessor)
 		}
-		if err := wait.For(ctx, registerWait); err != nil {
+		if err := wait.For(ctx, storeRetryDelay); err != nil {
 			return err
 		}
 	}
--- a/node/speed.go
+++ b/node/speed.go
@@ -6,31 +6,30 @@
 )
 
 const (
-	// speedSamples is how many of the last samples count.
+	// speedSamples is the number of recent samples considered.
 	speedSamples = 6
-	// slowRatio is by how much longer the fixed work must take than at its best for
-	// the machine to count as slow.
+	// slowRatio is how many times longer than its best time the benchmark must take for the
+	// machine to count as slow.
 	slowRatio = 2.0
-	// speedWork is the number of rounds of the fixed work: some microseconds, so
-	// that it is seldom interrupted.
-	speedWork = 8000
+	// benchmarkRounds is the number of rounds of the benchmark. It takes microseconds, so that
+	// it is rarely preempted.
+	benchmarkRounds = 8000
 )
 
-// speedMeter tells a machine that has turned slow from a process that has much to
-// do: both serve timers late, but only on a slow machine does a short piece of fixed
-// work take longer each time. The shortest of the last samples counts, so that one
-// that was interrupted says nothing.
+// speedMeter distinguishes a slow machine from a busy process. Both have a high timer lag, but
+// only on a slow machine does a short benchmark consistently take longer. The shortest of the
+// recent samples is used, so that preempted runs do not count.
 type speedMeter struct {
 	mu     sync.Mutex
-	best   time.Duration // the shortest ever
+	best   time.Duration // shortest duration of all samples
 	recent [speedSamples]time.Duration
 	next   int
 }
 
-// sample does the fixed work once.
+// sample runs the benchmark once.
 func (m *speedMeter) sample() {
 	begun := time.Now()
-	spin(speedWork)
+	spin(benchmarkRounds)
 	m.add(time.Since(begun))
 }
 
@@ -55,8 +54,8 @@
 	m.next++
 }
 
-// slow reports whether the machine has turned slow. It is not known before there
-// are enough samples.
+// slow reports whether the machine has become slow. It reports false until there are enough
+// samples.
 func (m *speedMeter) slow() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
