--- a/fairness/doc.go
+++ b/fairness/doc.go
@@ -1,10 +1,10 @@
-// Package fairness knows which jobs of a client account are owed to it, and which come on top.
+// Package fairness decides which jobs of a client account are within its fair share and which
+// exceed it.
 //
-// The load that it answers: one account of several sends many times its usual for some seconds,
-// most of it lookups that must begin at once. Work is ordered by when it must begin, whoever
-// sent it, so that all lookups then become late, those of the accounts that send no more than
-// ever among them. What comes on top goes after what is owed and as urgent: it is served as far
-// as there is room, which is as much as before, and the others are served in time.
+// Queues are ordered by deadline across all accounts. Without a limit, a burst of urgent jobs from
+// one account would therefore delay the urgent jobs of every other account. Jobs over an account's
+// share are ordered after jobs of the same urgency that are within the share of their accounts, and
+// still run when there is spare capacity.
 //
-// Everything here is a value, and time is an argument.
+// All types are immutable values, and the current time is passed as an argument.
 package fairness
--- a/fairness/meter.go
+++ b/fairness/meter.go
@@ -3,35 +3,33 @@
 import "time"
 
 const (
-	// window is for how long an account saves up what it is owed and does not send: jobs come
-	// in bunches.
-	window = 2 * time.Second
-	// leastSaved is what any account can save up, in jobs.
-	leastSaved = 2.0
+	// burstWindow is the time over which an account can accumulate unused share.
+	burstWindow = 2 * time.Second
+	// minBurst is the smallest burst size of any account, in jobs.
+	minBurst = 2.0
 )
 
-// Meter counts the jobs of an account against what it is owed: as many a second as its weight.
-// The zero Meter is that of an account that has sent nothing for long.
+// Meter is a leaky bucket that measures the jobs of an account against its share, which is as many
+// jobs per second as its weight. The zero Meter is empty.
 type Meter struct {
-	ahead float64 // jobs for which what it is owed since has not made up
-	at    time.Time
+	level     float64 // in jobs
+	updatedAt time.Time
 }
 
-// WithJob returns the meter after a job has come, and whether the job comes on top of what the
-// account is owed; such a job does not count against later ones. An account without a weight is
-// owed whatever it sends.
-func (m Meter) WithJob(weight float64, now time.Time) (next Meter, beyond bool) {
+// WithJob returns the meter after a job has arrived, and whether the job exceeds the account's
+// share. Jobs over the share do not raise the level. Without a positive weight there is no limit.
+func (m Meter) WithJob(weight float64, now time.Time) (next Meter, overShare bool) {
 	if weight <= 0 {
 		return m, false
 	}
-	ahead := m.aheadAt(weight, now)
-	if ahead+1 > max(leastSaved, weight*window.Seconds()) {
-		return Meter{ahead, now}, true
+	level := m.levelAt(weight, now)
+	if level+1 > max(minBurst, weight*burstWindow.Seconds()) {
+		return Meter{level, now}, true
 	}
-	return Meter{ahead + 1, now}, false
+	return Meter{level + 1, now}, false
 }
 
-func (m Meter) aheadAt(weight float64, now time.Time) float64 {
-	since := max(0, now.Sub(m.at).Seconds())
-	return max(0, m.ahead-weight*since)
+func (m Meter) levelAt(weight float64, now time.Time) float64 {
+	elapsed := max(0, now.Sub(m.updatedAt).Seconds())
+	return max(0, m.level-weight*elapsed)
 }
