--- a/urgency/urgency.go
+++ b/urgency/urgency.go
@@ -5,80 +5,81 @@
 	"time"
 )
 
-// Rank orders work that waits; lower goes first.
+// Rank orders waiting steps; lower ranks are placed first.
 type Rank int
 
-// The ranks.
 const (
-	UrgentInTime Rank = iota // of the first queue, and can be completed in time
-	InTime
-	UrgentLate
-	Late
-	Worthless // so late that completing it earns nothing more
+	UrgentInTime Rank = iota // priority 0, can meet the deadline
+	InTime                   // can meet the deadline
+	UrgentLate               // priority 0, misses the deadline
+	Late                     // misses the deadline
+	Expired                  // too late for completion to have any value
 )
 
 const (
-	// worthlessAfter is the multiple of its objective after which a job earns nothing more.
-	worthlessAfter = 3
-	// stopLead is how long before a step's latest start others are stopped for it: asking for
-	// advice and their stop take up to it. chainShare of the chain's estimate is added, for
-	// estimates are half as long or twice as long as the work.
-	stopLead   = 1500 * time.Millisecond
-	chainShare = 0.5
-	// leaveLead is the same for a step that leaves room to others: after this it takes its own.
-	leaveLead = 3 * time.Second
-	// mostIdle is for how long a job of which nothing runs leaves room to others. It must not
-	// stand still for 3 s where there is room.
-	mostIdle = 2 * time.Second
+	// expiryFactor is the multiple of a job's objective after which its completion has no value.
+	expiryFactor = 3
+	// preemptLead is how long before its latest start a step may preempt other work, which
+	// covers the time to ask for advice and to stop tasks. The share estimateMargin of the
+	// estimated work is added, since estimates can be wrong by a factor of two.
+	preemptLead    = 1500 * time.Millisecond
+	estimateMargin = 0.5
+	// yieldLead is how long before its latest start, plus the same margin, a step stops
+	// leaving room to others.
+	yieldLead = 3 * time.Second
+	// maxIdle is how long a job without running tasks may be held back. A job must not be
+	// idle for 3 s while there is room for it.
+	maxIdle = 2 * time.Second
 )
 
-// Work is a step that waits, as its urgency depends on it.
+// Work describes a waiting step.
 type Work struct {
-	Priority int // of its queue; 0 goes first
-	// Arrived is when its job came, and Deadline when that should be completed.
+	Priority int // of the queue; 0 is the highest
+	// Arrived is the arrival time of the job, and Deadline the time by which it should be
+	// completed.
 	Arrived, Deadline time.Time
-	// Chain is the estimated work of the longest chain that is left.
+	// Chain is the estimated duration of the critical path that remains.
 	Chain time.Duration
-	// Untimed work has no deadline that counts: it lasts, or has times of its own.
+	// Untimed work has no deadline to meet: it runs indefinitely or has a schedule of its own.
 	Untimed bool
-	// Idle is for how long nothing of its job has run; 0 if something does.
+	// Idle is how long the job has had no task on a worker; 0 if it has one.
 	Idle time.Duration
-	// Beyond is whether its job came on top of what its account is owed.
+	// Beyond is set if the job exceeds the fair share of its account.
 	Beyond bool
 }
 
-// Verdict is how urgent a step is at a moment.
+// Verdict is the urgency of a step at a point in time.
 type Verdict struct {
 	Rank Rank
-	// Latest is when the rest of the chain must begin to end in time.
+	// Latest is the latest time at which the critical path can start and meet the deadline.
 	Latest time.Time
-	// Pressed steps are worth that work of lesser queues is stopped for them.
+	// Pressed steps may preempt work of lesser queues.
 	Pressed bool
-	// MayWait is whether it may be held back although there is room: something of its job
-	// runs, or did a moment ago.
+	// MayWait is set if the step may be held back although there is room, because its job
+	// has a task on a worker or has been idle only briefly.
 	MayWait bool
-	// Patient steps leave room to wide steps of queues that go first.
+	// Patient steps leave room to gangs of higher-priority queues, waiting or expected.
 	Patient bool
-	// Beyond steps go after those of their rank that are owed to their accounts.
+	// Beyond steps are ordered after those of the same rank within their accounts' share.
 	Beyond bool
 }
 
-// InTime reports whether the work can be completed in time.
+// InTime reports whether the step can meet its deadline.
 func (v Verdict) InTime() bool { return v.Rank <= InTime }
 
-// Judge returns how urgent a step is.
+// Judge returns the urgency of a step.
 func Judge(w Work, now time.Time) Verdict {
-	v := Verdict{Rank: rankOf(w, now), Latest: w.Deadline.Add(-w.Chain), MayWait: w.Idle < mostIdle, Beyond: w.Beyond}
+	v := Verdict{Rank: rank(w, now), Latest: w.Deadline.Add(-w.Chain), MayWait: w.Idle < maxIdle, Beyond: w.Beyond}
 	if w.Untimed {
 		return v
 	}
-	margin := time.Duration(chainShare * float64(w.Chain))
-	v.Pressed = v.Rank <= InTime && (w.Priority == 0 || now.Add(stopLead+margin).After(v.Latest))
-	v.Patient = v.MayWait && w.Priority > 0 && now.Add(leaveLead+margin).Before(v.Latest)
+	margin := time.Duration(estimateMargin * float64(w.Chain))
+	v.Pressed = v.Rank <= InTime && (w.Priority == 0 || now.Add(preemptLead+margin).After(v.Latest))
+	v.Patient = v.MayWait && w.Priority > 0 && now.Add(yieldLead+margin).Before(v.Latest)
 	return v
 }
 
-func rankOf(w Work, now time.Time) Rank {
+func rank(w Work, now time.Time) Rank {
 	urgent := w.Priority == 0
 	switch {
 	case w.Untimed:
@@ -88,20 +89,21 @@
 			return UrgentInTime
 		}
 		return InTime
-	case now.After(w.Arrived.Add(worthlessAfter * w.Deadline.Sub(w.Arrived))):
-		return Worthless
+	case now.After(w.Arrived.Add(expiryFactor * w.Deadline.Sub(w.Arrived))):
+		return Expired
 	case urgent:
 		return UrgentLate
 	}
 	return Late
 }
 
-// Compare orders verdicts, the most urgent first.
+// Compare orders the most urgent step first.
 func Compare(a, b Verdict) int {
-	return cmp.Or(cmp.Compare(a.Rank, b.Rank), trueLast(a.Beyond, b.Beyond), a.Latest.Compare(b.Latest))
+	return cmp.Or(cmp.Compare(a.Rank, b.Rank), compareBool(a.Beyond, b.Beyond), a.Latest.Compare(b.Latest))
 }
 
-func trueLast(a, b bool) int {
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
