--- a/headroom/demand.go
+++ b/headroom/demand.go
@@ -8,100 +8,100 @@
 )
 
 const (
-	// memory is how long the past counts: arrivals a time ago weigh 1/e.
-	memory = 5 * time.Second
-	// window is how long arrivals should find room without others making way. Twice as long
-	// and half as long earned 0.006 less and the same on three days of two seeds.
-	window = 1500 * time.Millisecond
-	// shapeTasks is how many tasks weigh as much as all before them in the mean need.
-	shapeTasks = 40
+	// decayTime is the time in which the weight of an arrival falls to 1/e.
+	decayTime = 5 * time.Second
+	// horizon is the time for which expected arrivals have room without preemption.
+	horizon = 1500 * time.Millisecond
+	// needSmoothing is the number of tasks of an arrival at which it weighs as much in the mean
+	// need as all earlier ones.
+	needSmoothing = 40
 )
 
-// Demand is what gangs have asked for of late. The zero Demand is none.
+// Demand is the recent demand of gangs. The zero Demand is no demand.
 type Demand struct {
-	need resource.Amount // of a task, at the mean
-	rate float64         // tasks a second
-	at   time.Time       // of which the rate is
-	// priority is that of the queue from which the last gang came.
+	meanNeed  resource.Amount // of a task
+	rate      float64         // tasks per second, at updatedAt
+	updatedAt time.Time
+	// priority is that of the queue of the most recent gang.
 	priority int
 }
 
-// WithArrival returns the demand after a gang has come.
+// WithArrival returns the demand after a gang has arrived.
 func (d Demand) WithArrival(need resource.Amount, tasks, priority int, now time.Time) Demand {
 	count := float64(tasks)
-	weight := count / (count + shapeTasks)
+	weight := count / (count + needSmoothing)
 	if d.rate == 0 {
 		weight = 1
 	}
-	mean := func(old, new int64) int64 { return old + int64(weight*float64(new-old)) }
+	ewma := func(previous, latest int64) int64 { return previous + int64(weight*float64(latest-previous)) }
 	return Demand{
-		need: resource.Amount{
-			CPU:          resource.MilliCPU(mean(int64(d.need.CPU), int64(need.CPU))),
-			Memory:       resource.Bytes(mean(int64(d.need.Memory), int64(need.Memory))),
-			Accelerators: mean(d.need.Accelerators, need.Accelerators),
+		meanNeed: resource.Amount{
+			CPU:          resource.MilliCPU(ewma(int64(d.meanNeed.CPU), int64(need.CPU))),
+			Memory:       resource.Bytes(ewma(int64(d.meanNeed.Memory), int64(need.Memory))),
+			Accelerators: ewma(d.meanNeed.Accelerators, need.Accelerators),
 		},
-		rate: d.Rate(now) + count/memory.Seconds(), at: now, priority: priority,
+		rate: d.Rate(now) + count/decayTime.Seconds(), updatedAt: now, priority: priority,
 	}
 }
 
-// Rate returns how many tasks of gangs come a second.
+// Rate returns the arrival rate of gang tasks per second, decayed to now.
 func (d Demand) Rate(now time.Time) float64 {
 	if d.rate == 0 {
 		return 0
 	}
-	return d.rate * math.Exp(-now.Sub(d.at).Seconds()/memory.Seconds())
+	return d.rate * math.Exp(-now.Sub(d.updatedAt).Seconds()/decayTime.Seconds())
 }
 
-// Fits returns how many tasks of the gangs that come an amount has room for.
-func (d Demand) Fits(free resource.Amount) int {
+// SlotsIn returns how many gang tasks of mean need fit into a free amount.
+func (d Demand) SlotsIn(free resource.Amount) int {
 	if d.rate == 0 || !free.Valid() {
 		return 0
 	}
 	count := math.MaxInt
-	limit := func(have, want int64) {
-		if want > 0 {
-			count = min(count, int(have/want))
+	limit := func(available, needed int64) {
+		if needed > 0 {
+			count = min(count, int(available/needed))
 		}
 	}
-	limit(int64(free.CPU), int64(d.need.CPU))
-	limit(int64(free.Memory), int64(d.need.Memory))
-	limit(free.Accelerators, d.need.Accelerators)
+	limit(int64(free.CPU), int64(d.meanNeed.CPU))
+	limit(int64(free.Memory), int64(d.meanNeed.Memory))
+	limit(free.Accelerators, d.meanNeed.Accelerators)
 	if count == math.MaxInt {
-		return 0 // they need nothing that could run out
+		return 0 // tasks without a need take no room
 	}
 	return count
 }
 
-// Gaps is the room for gangs on all workers of a service, in tasks, at a moment.
+// Gaps counts the room for gang tasks on all workers of a service at a point in time.
 type Gaps struct {
 	Demand Demand
-	Free   int // tasks that there is room for
-	wanted int
+	Free   int // gang tasks that fit into the free room
+	target int // gang tasks expected to arrive within the horizon
 }
 
-// GapsAt returns the gaps before any room is counted.
+// GapsAt returns the count for the demand at a point in time, with no workers counted yet.
 func (d Demand) GapsAt(now time.Time) Gaps {
-	return Gaps{Demand: d, wanted: int(d.Rate(now) * window.Seconds())}
+	return Gaps{Demand: d, target: int(d.Rate(now) * horizon.Seconds())}
 }
 
-// WithRoom returns the gaps with the room that a worker has left.
+// WithRoom adds the free room of a worker.
 func (g Gaps) WithRoom(free resource.Amount) Gaps {
-	g.Free += g.Demand.Fits(free)
+	g.Free += g.Demand.SlotsIn(free)
 	return g
 }
 
-// WithTaken returns the gaps after a worker's room has gone from one amount to another.
+// WithTaken updates the count after the free room of one worker has changed.
 func (g Gaps) WithTaken(before, after resource.Amount) Gaps {
-	g.Free -= g.Demand.Fits(before) - g.Demand.Fits(after)
+	g.Free -= g.Demand.SlotsIn(before) - g.Demand.SlotsIn(after)
 	return g
 }
 
-// Keeps reports whether the room that a task would take is kept for gangs: a task of a queue
-// with a lesser priority that would leave too little.
+// Keeps reports whether the room that a task would take on a worker is reserved for gangs. Room is
+// reserved only from queues of lower priority than the gangs' queue.
 func (g Gaps) Keeps(priority int, before, after resource.Amount) bool {
 	if priority <= g.Demand.priority {
 		return false
 	}
-	loss := g.Demand.Fits(before) - g.Demand.Fits(after)
-	return loss > 0 && g.Free-loss < g.wanted
+	lost := g.Demand.SlotsIn(before) - g.Demand.SlotsIn(after)
+	return lost > 0 && g.Free-lost < g.target
 }
--- a/headroom/demand_test.go
+++ b/headroom/demand_test.go
@@ -13,56 +13,56 @@
 const gigabyte = 1 << 30
 
 var (
-	start  = time.Unix(1000, 0)
-	member = resource.Amount{CPU: 9_000, Memory: 33 * gigabyte}
-	small  = resource.Amount{CPU: 3_500, Memory: 13 * gigabyte}
-	whole  = resource.Amount{CPU: 32_000, Memory: 128 * gigabyte}
+	start       = time.Unix(1000, 0)
+	gangTask    = resource.Amount{CPU: 9_000, Memory: 33 * gigabyte}
+	smallTask   = resource.Amount{CPU: 3_500, Memory: 13 * gigabyte}
+	wholeWorker = resource.Amount{CPU: 32_000, Memory: 128 * gigabyte}
 )
 
-// gangs returns the demand of a gang of twenty each quarter of a second.
-func gangs(span time.Duration) (headroom.Demand, time.Time) {
+// steadyDemand returns the demand after a gang of twenty tasks has arrived every 250 ms for a span.
+func steadyDemand(span time.Duration) (headroom.Demand, time.Time) {
 	var d headroom.Demand
 	now := start
 	for ; now.Sub(start) < span; now = now.Add(250 * time.Millisecond) {
-		d = d.WithArrival(member, 20, 1, now)
+		d = d.WithArrival(gangTask, 20, 1, now)
 	}
 	return d, now
 }
 
 func TestDemand(t *testing.T) {
-	d, now := gangs(30 * time.Second)
+	d, now := steadyDemand(30 * time.Second)
 	if rate := d.Rate(now); rate < 70 || rate > 90 {
-		t.Errorf("%v tasks a second, want 80", rate)
+		t.Errorf("rate is %v tasks per second, want 70 to 90", rate)
 	}
 	if rate := d.Rate(now.Add(20 * time.Second)); rate > 2 {
-		t.Errorf("%v tasks a second 20 s after the last", rate)
+		t.Errorf("rate is %v tasks per second 20 s after the last arrival, want at most 2", rate)
 	}
-	if got := d.Fits(whole); got != 3 {
-		t.Errorf("a whole worker has room for %d, want 3", got)
+	if got := d.SlotsIn(wholeWorker); got != 3 {
+		t.Errorf("%d slots on an empty worker, want 3", got)
 	}
-	if got := (headroom.Demand{}).Fits(whole); got != 0 {
-		t.Errorf("without demand a worker has room for %d", got)
+	if got := (headroom.Demand{}).SlotsIn(wholeWorker); got != 0 {
+		t.Errorf("%d slots without demand, want 0", got)
 	}
-	if got := d.Fits(resource.Amount{CPU: -1, Memory: gigabyte}); got != 0 {
-		t.Errorf("a worker that has shrunk below what runs has room for %d", got)
+	if got := d.SlotsIn(resource.Amount{CPU: -1, Memory: gigabyte}); got != 0 {
+		t.Errorf("%d slots on an overcommitted worker, want 0", got)
 	}
 }
 
-// Small tasks that may wait take what no gang could use, and leave as many gaps as gangs need
-// in a second and a half.
-func TestSmallTasksLeaveGaps(t *testing.T) {
+// Small tasks of lower priority fill the room that gangs cannot use and leave slots for the gangs
+// that are expected within the horizon.
+func TestSmallTasksLeaveHeadroom(t *testing.T) {
 	const workers = 100
-	d, now := gangs(30 * time.Second)
-	place := func(priority int) (placed, gaps int) {
+	d, now := steadyDemand(30 * time.Second)
+	placeAll := func(priority int) (placed, slots int) {
 		g := d.GapsAt(now)
 		free := make([]resource.Amount, workers)
 		for i := range free {
-			free[i] = whole
-			g = g.WithRoom(whole)
+			free[i] = wholeWorker
+			g = g.WithRoom(wholeWorker)
 		}
 		for i := range free {
-			for small.Fits(free[i]) && !g.Keeps(priority, free[i], free[i].Minus(small)) {
-				after := free[i].Minus(small)
+			for smallTask.Fits(free[i]) && !g.Keeps(priority, free[i], free[i].Minus(smallTask)) {
+				after := free[i].Minus(smallTask)
 				g = g.WithTaken(free[i], after)
 				free[i] = after
 				placed++
@@ -70,19 +70,19 @@
 		}
 		return placed, g.Free
 	}
-	if placed, gaps := place(2); gaps < 110 || gaps > 130 || placed < 500 {
-		t.Errorf("%d small tasks leave %d gaps, want 500 and 120", placed, gaps)
+	if placed, slots := placeAll(2); slots < 110 || slots > 130 || placed < 500 {
+		t.Errorf("%d small tasks placed with %d slots left, want at least 500 with 110 to 130 left", placed, slots)
 	}
-	if placed, gaps := place(1); gaps != 0 || placed != 9*workers {
-		t.Errorf("%d tasks of the gangs' own priority leave %d gaps, want %d and none", placed, gaps, 9*workers)
+	if placed, slots := placeAll(1); slots != 0 || placed != 9*workers {
+		t.Errorf("%d tasks of the gangs' priority placed with %d slots left, want %d with none left", placed, slots, 9*workers)
 	}
 }
 
-// Gaps that are kept step by step are those that a new count finds.
-func TestGapsAddUp(t *testing.T) {
-	d, now := gangs(5 * time.Second)
+// The incrementally updated count equals a full recount.
+func TestIncrementalCountMatchesRecount(t *testing.T) {
+	d, now := steadyDemand(5 * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
-		free := whole
+		free := wholeWorker
 		g := d.GapsAt(now).WithRoom(free)
 		for range rapid.IntRange(0, 12).Draw(t, "tasks") {
 			after := free.Minus(resource.Amount{CPU: resource.MilliCPU(rapid.IntRange(0, 9000).Draw(t, "cpu")), Memory: gigabyte})
@@ -90,7 +90,7 @@
 			free = after
 		}
 		if want := d.GapsAt(now).WithRoom(free).Free; g.Free != want {
-			t.Fatalf("%d gaps, want %d", g.Free, want)
+			t.Fatalf("%d slots, want %d", g.Free, want)
 		}
 	})
 }
--- a/headroom/doc.go
+++ b/headroom/doc.go
@@ -1,10 +1,8 @@
-// Package headroom knows how much room is kept whole for gangs that are yet to come, from how
-// many came of late.
+// Package headroom decides how much room to reserve for gangs that have not arrived yet, from the
+// rate at which gangs have arrived recently.
 //
-// The load that it answers: four gangs a second of twenty tasks each, three of which fill a
-// worker, beside thousands of small tasks that may wait. The small ones fit everywhere, so that
-// without headroom no worker has room for a gang's task when the gang comes, although a fifth
-// of all processors is free.
+// Small tasks fit on almost any worker. Without headroom they can leave no single worker with room
+// for the larger task of a gang, although many processors are free in total.
 //
-// Everything here is a value, and time is an argument.
+// All types are immutable values, and the current time is passed as an argument.
 package headroom
