--- a/reliability/record.go
+++ b/reliability/record.go
@@ -6,118 +6,117 @@
 )
 
 const (
-	// quarantineAfter is how many failures in a row keep all work from a worker. One is
-	// mostly the task's own: one or two tasks in a hundred fail anywhere.
-	quarantineAfter = 2
-	// leastPause and mostPause bound for how long; each quarantine without a success in
-	// between is twice as long as the one before.
-	leastPause = time.Second
-	mostPause  = 4 * time.Second
-	// doubtFor is for how long a worker is in doubt after one failure: by then one that fails
-	// everything has failed again.
-	doubtFor = time.Second
-	// newestWeight is the weight of the newest attempt in the share of failures, and halfLife
-	// the time in which the share halves without any.
-	newestWeight = 0.25
-	halfLife     = 4 * time.Second
-	// doubtShare is the share of failures from which a worker is in doubt. One failure on a
-	// sound worker comes to a quarter.
-	doubtShare = 0.3
+	// quarantineFailures is the number of consecutive failures that put a worker into
+	// quarantine. A single failure is usually caused by the task.
+	quarantineFailures = 2
+	// minQuarantine and maxQuarantine bound the length of a quarantine, which doubles each time
+	// until an attempt succeeds.
+	minQuarantine = time.Second
+	maxQuarantine = 4 * time.Second
+	// suspectTime is how long a worker is suspect after one failure. A worker that fails every
+	// task will have failed again by then.
+	suspectTime = time.Second
+	// smoothing is the weight of the newest attempt in the failure rate, and halfLife the time
+	// in which the rate halves.
+	smoothing = 0.25
+	halfLife  = 4 * time.Second
+	// suspectRate is the failure rate from which a worker is suspect. One failure raises a
+	// rate of 0 to 0.25.
+	suspectRate = 0.3
 )
 
-// Standing is how far a worker can be relied on.
+// Standing is the health of a worker as concluded from its attempts, best first.
 type Standing int
 
-// The standings, the best first.
 const (
 	Sound       Standing = iota
-	Doubtful             // it may fail: nothing goes there that must not
-	Probing              // it has failed in a row: one task at a time finds out
-	Quarantined          // it gets nothing for a while
+	Suspect              // may be failing: no critical work
+	Probing              // after quarantine: one task at a time, no critical work
+	Quarantined          // no work
 )
 
-// Record is how attempts have ended on a worker. The zero Record is that of a sound one.
+// Record sums up the outcomes of attempts on a worker. The zero Record is that of a sound worker.
 type Record struct {
-	row      int // failures in a row that are taken for the worker's
-	share    float64
-	failedAt time.Time
-	until    time.Time // of its quarantine
-	pause    time.Duration
-	lastJob  string // of the last failure
+	consecutive      int     // consecutive failures attributed to the worker
+	failureRate      float64 // as of lastFailedAt
+	lastFailedAt     time.Time
+	quarantinedUntil time.Time
+	quarantine       time.Duration // length of the latest one
+	lastFailedJob    string
 }
 
-// WithDone returns the record after an attempt has ended well.
+// WithDone returns the record after a successful attempt, which ends a quarantine.
 func (r Record) WithDone() Record {
-	return Record{share: r.share * (1 - newestWeight), failedAt: r.failedAt}
+	return Record{failureRate: r.failureRate * (1 - smoothing), lastFailedAt: r.lastFailedAt}
 }
 
-// WithFailed returns the record after an attempt has failed. Failures of one job in a row
-// count once: they may be the job's own.
+// WithFailed returns the record after a failed attempt. Consecutive failures of the same job count
+// once, since the job may be their cause.
 func (r Record) WithFailed(job string, now time.Time) Record {
-	if r.row > 0 && r.lastJob == job {
+	if r.consecutive > 0 && r.lastFailedJob == job {
 		return r
 	}
-	r.share = r.Share(now) + (1-r.Share(now))*newestWeight
-	r.failedAt, r.lastJob = now, job
-	if r.row++; r.row >= quarantineAfter {
-		r.pause = min(mostPause, max(leastPause, 2*r.pause))
-		r.until = now.Add(r.pause)
+	r.failureRate = r.Share(now) + (1-r.Share(now))*smoothing
+	r.lastFailedAt, r.lastFailedJob = now, job
+	if r.consecutive++; r.consecutive >= quarantineFailures {
+		r.quarantine = min(maxQuarantine, max(minQuarantine, 2*r.quarantine))
+		r.quarantinedUntil = now.Add(r.quarantine)
 	}
 	return r
 }
 
-// WithForgiven returns the record after the last failure has turned out to be the task's: it
-// has failed on another worker too.
+// WithForgiven returns the record without the last failure, for a task that has failed on another
+// worker too and is therefore the likely cause.
 func (r Record) WithForgiven() Record {
-	if r.row == 0 {
+	if r.consecutive == 0 {
 		return r
 	}
-	r.row--
-	r.share = math.Max(0, (r.share-newestWeight)/(1-newestWeight))
-	if r.row < quarantineAfter {
-		r.until = time.Time{}
+	r.consecutive--
+	r.failureRate = math.Max(0, (r.failureRate-smoothing)/(1-smoothing))
+	if r.consecutive < quarantineFailures {
+		r.quarantinedUntil = time.Time{}
 	}
 	return r
 }
 
-// Share returns the share of attempts that fail, the newest weighing most.
+// Share returns the exponentially weighted failure rate.
 func (r Record) Share(now time.Time) float64 {
-	if r.share == 0 {
+	if r.failureRate == 0 {
 		return 0
 	}
-	return r.share * math.Exp2(-float64(now.Sub(r.failedAt))/float64(halfLife))
+	return r.failureRate * math.Exp2(-float64(now.Sub(r.lastFailedAt))/float64(halfLife))
 }
 
-// Standing returns how far the worker can be relied on.
+// Standing returns the standing of the worker at a point in time.
 func (r Record) Standing(now time.Time) Standing {
 	switch {
-	case now.Before(r.until):
+	case now.Before(r.quarantinedUntil):
 		return Quarantined
-	case r.row >= quarantineAfter:
+	case r.consecutive >= quarantineFailures:
 		return Probing
-	case r.row > 0 && now.Sub(r.failedAt) < doubtFor, r.Share(now) >= doubtShare:
-		return Doubtful
+	case r.consecutive > 0 && now.Sub(r.lastFailedAt) < suspectTime, r.Share(now) >= suspectRate:
+		return Suspect
 	}
 	return Sound
 }
 
-// Work is what could be placed on a worker.
+// Work describes a task to be placed on a worker.
 type Work struct {
-	// Precious work is lost, or much of it, with one more failure: a task with one attempt
-	// left, or a member of a gang.
+	// Precious is set for tasks on their last attempt and for members of gangs, whose failure
+	// loses more than the attempt.
 	Precious bool
-	// Beside is how many other tasks run on the worker.
+	// Beside is the number of other tasks on the worker.
 	Beside int
 }
 
-// Takes reports whether work may go to a worker of a standing.
+// Takes reports whether a worker of this standing accepts the work.
 func (s Standing) Takes(work Work) bool {
 	switch s {
 	case Quarantined:
 		return false
 	case Probing:
 		return !work.Precious && work.Beside == 0
-	case Doubtful:
+	case Suspect:
 		return !work.Precious
 	}
 	return true
--- a/reliability/record_test.go
+++ b/reliability/record_test.go
@@ -10,14 +10,14 @@
 	"chutereach/reliability"
 )
 
-// after returns the record of a worker after ends at moments: a letter each, d for done, f for
-// a failure of another job each time, s for one of the same job, x for one that is forgiven,
-// and a dot for a tenth of a second.
-func after(ends string) (reliability.Record, time.Time) {
+// replay returns a record after a sequence of events, one letter each: d is a success, f a failure of
+// a new job, s a failure of always the same job, x a failure attributed to the task, and a dot a pause
+// of 100 ms.
+func replay(events string) (reliability.Record, time.Time) {
 	var r reliability.Record
 	now := time.Unix(1000, 0)
-	for i, end := range ends {
-		switch end {
+	for i, event := range events {
+		switch event {
 		case 'd':
 			r = r.WithDone()
 		case 'f':
@@ -36,83 +36,82 @@
 func TestStanding(t *testing.T) {
 	const second = ".........."
 	cases := []struct {
-		ends string
-		want reliability.Standing
+		events string
+		want   reliability.Standing
 	}{
 		{"", reliability.Sound},
 		{"d", reliability.Sound},
-		{"f", reliability.Doubtful},
+		{"f", reliability.Suspect},
 		{"f" + second, reliability.Sound},
 		{"fd", reliability.Sound},
 		{"fx", reliability.Sound},
 		{"ff", reliability.Quarantined},
-		{"ffx", reliability.Doubtful},
+		{"ffx", reliability.Suspect},
 		{"ff" + second, reliability.Probing},
 		{"ff" + second + "f" + second, reliability.Quarantined},
 		{"ff" + second + "f" + second + second, reliability.Probing},
-		{"fff" + second + "d", reliability.Doubtful},
+		{"fff" + second + "d", reliability.Suspect},
 		{"ff" + second + second + second + "d", reliability.Sound},
-		{"ss", reliability.Doubtful},
+		{"ss", reliability.Suspect},
 		{"sss" + second, reliability.Sound},
-		{"fdfdfd", reliability.Doubtful},
+		{"fdfdfd", reliability.Suspect},
 	}
 	for _, test := range cases {
-		t.Run(test.ends, func(t *testing.T) {
-			r, now := after(test.ends)
+		t.Run(test.events, func(t *testing.T) {
+			r, now := replay(test.events)
 			if got := r.Standing(now); got != test.want {
-				t.Errorf("standing %d, want %d (share %.2f)", got, test.want, r.Share(now))
+				t.Errorf("standing %d, want %d (failure rate %.2f)", got, test.want, r.Share(now))
 			}
 		})
 	}
 }
 
-func TestWhatAStandingTakes(t *testing.T) {
-	plain, precious, beside := reliability.Work{}, reliability.Work{Precious: true}, reliability.Work{Beside: 1}
+func TestAcceptedWork(t *testing.T) {
+	ordinary, critical, colocated := reliability.Work{}, reliability.Work{Precious: true}, reliability.Work{Beside: 1}
 	cases := []struct {
-		standing                reliability.Standing
-		plain, precious, beside bool
+		standing                      reliability.Standing
+		ordinary, critical, colocated bool
 	}{
 		{reliability.Sound, true, true, true},
-		{reliability.Doubtful, true, false, true},
+		{reliability.Suspect, true, false, true},
 		{reliability.Probing, true, false, false},
 		{reliability.Quarantined, false, false, false},
 	}
 	for _, test := range cases {
-		got := [3]bool{test.standing.Takes(plain), test.standing.Takes(precious), test.standing.Takes(beside)}
-		if want := [3]bool{test.plain, test.precious, test.beside}; got != want {
-			t.Errorf("standing %d takes %v, want %v", test.standing, got, want)
+		got := [3]bool{test.standing.Takes(ordinary), test.standing.Takes(critical), test.standing.Takes(colocated)}
+		if want := [3]bool{test.ordinary, test.critical, test.colocated}; got != want {
+			t.Errorf("standing %d accepts %v, want %v", test.standing, got, want)
 		}
 	}
 }
 
-// Whatever happened, a worker is tried again within the longest pause, and relied on again
-// after enough time without failures and one success.
-func TestNoWorkerIsGivenUp(t *testing.T) {
+// After any history, a worker leaves quarantine within the maximum length, and is sound again after a
+// success and enough time without failures.
+func TestWorkersRecover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ends := rapid.StringMatching(`[dfsx.]{0,60}`).Draw(t, "ends")
-		r, now := after(ends)
+		events := rapid.StringMatching(`[dfsx.]{0,60}`).Draw(t, "ends")
+		r, now := replay(events)
 		if s := r.Standing(now.Add(4 * time.Second)); s == reliability.Quarantined {
-			t.Fatalf("after %q it is in quarantine 4 s later", ends)
+			t.Fatalf("4 s after %q: quarantined, want any other standing", events)
 		}
 		if s := r.WithDone().Standing(now.Add(20 * time.Second)); s != reliability.Sound {
-			t.Fatalf("after %q, a success and 20 s it is %d", ends, s)
+			t.Fatalf("20 s after %q and a success: standing %d, want sound", events, s)
 		}
 	})
 }
 
-// The load of a day on which one worker in twenty fails all it is given within 50 ms, and is
-// the one with room: how many attempts it takes in seven seconds.
-func TestAFailingWorkerOnAFullFleet(t *testing.T) {
-	const most = 8 // with penalties alone 50 and more were seen
+// A worker that fails every attempt within 50 ms and always has room must not use up many attempts.
+func TestFailingWorkerAttemptsAreBounded(t *testing.T) {
+	const limit = 8
 	var r reliability.Record
-	now, taken := time.Unix(1000, 0), 0
+	now, attempts := time.Unix(1000, 0), 0
 	for end := now.Add(7 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		if r.Standing(now).Takes(reliability.Work{}) {
-			r = r.WithFailed(fmt.Sprint(taken), now)
-			taken++
+			r = r.WithFailed(fmt.Sprint(attempts), now)
+			attempts++
 		}
 	}
-	if taken > most {
-		t.Errorf("it failed %d attempts, want %d at most", taken, most)
+	if attempts > limit {
+		t.Errorf("%d attempts failed within 7 s, want at most %d", attempts, limit)
 	}
 }
