--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -1,7 +1,7 @@
-// Package evacuation knows which data halls an operator has evacuated: no new work begins on the
-// workers of such a hall until the operator takes that back. What runs there goes on.
+// Package evacuation holds the set of data halls that an operator has evacuated. No new work starts
+// on the workers of an evacuated hall until the operator readmits it; running tasks continue.
 //
-// Everything here but Newest is a value.
+// All types but Newest are immutable values.
 package evacuation
 
 import (
@@ -12,22 +12,22 @@
 	"chutereach/clock"
 )
 
-// View is which data halls are evacuated, as the platform's store had it. The zero View knows
-// nothing.
+// View is the set of evacuated data halls as read from the platform's store. The zero View is empty
+// and was never read.
 type View struct {
-	halls   []string // sorted
-	version uint64   // of the store's rows
-	asOf    clock.Instant
+	halls   []string      // sorted
+	version uint64        // of the store's rows
+	asOf    clock.Instant // the view was read at this time or later
 }
 
-// NewView returns a view as of a version of the store's rows. It was true at asOf or later.
+// NewView returns the view of a version of the store's rows that was read at asOf or later.
 func NewView(halls []string, version uint64, asOf clock.Instant) View {
 	sorted := slices.Clone(halls)
 	slices.Sort(sorted)
 	return View{halls: slices.Compact(sorted), version: version, asOf: asOf}
 }
 
-// Halls returns the evacuated data halls, sorted.
+// Halls returns the evacuated data halls in sorted order.
 func (v View) Halls() []string { return slices.Clone(v.halls) }
 
 // Version returns the version of the store's rows.
@@ -42,11 +42,11 @@
 // Empty reports whether no data hall is evacuated.
 func (v View) Empty() bool { return len(v.halls) == 0 }
 
-// SameHalls reports whether both views have the same data halls evacuated.
+// SameHalls reports whether both views hold the same evacuated data halls.
 func (v View) SameHalls(other View) bool { return slices.Equal(v.halls, other.halls) }
 
-// Age returns for how long, at the most, the view may have been untrue. Time in which the machine
-// was suspended counts. The zero View has no age: known is false.
+// Age returns the longest time for which the view may have been outdated, including time during which
+// the machine was suspended. For a view that was never read, known is false.
 func (v View) Age(now clock.Instant) (age time.Duration, known bool) {
 	if v.asOf.IsZero() {
 		return 0, false
@@ -54,32 +54,32 @@
 	return now.Sub(v.asOf), true
 }
 
-// Newest holds the newest view that was offered. The zero Newest holds the zero View.
+// Newest holds the newest view offered to it. It is safe for concurrent use, and its zero value holds
+// the zero View.
 type Newest struct {
-	mu   sync.Mutex
-	held View
+	mu      sync.Mutex
+	current View
 }
 
-// Current returns the newest view.
 func (n *Newest) Current() View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.held
+	return n.current
 }
 
-// Offer takes a view unless one of a newer version is held, and returns the one that was held before
-// and whether the evacuated data halls have changed with it. What is newer than a view was true at no
-// earlier time than that, so that the view that is held never becomes older.
-func (n *Newest) Offer(view View) (former View, changed bool) {
+// Offer replaces the current view unless that has a newer version. It returns the view that was current
+// before, and whether the set of evacuated halls has changed. The time of the current view never moves
+// back: a newer version replaces the older one, so a later time of that holds for it too.
+func (n *Newest) Offer(view View) (previous View, changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	former = n.held
-	if view.version < former.version {
-		return former, false
+	previous = n.current
+	if view.version < previous.version {
+		return previous, false
 	}
-	if view.asOf.IsZero() || !former.asOf.IsZero() && view.asOf.Sub(former.asOf) < 0 {
-		view.asOf = former.asOf
+	if view.asOf.IsZero() || !previous.asOf.IsZero() && view.asOf.Sub(previous.asOf) < 0 {
+		view.asOf = previous.asOf
 	}
-	n.held = view
-	return former, !view.SameHalls(former)
+	n.current = view
+	return previous, !view.SameHalls(previous)
 }
