--- a/routing/caller.go
+++ b/routing/caller.go
@@ -6,46 +6,46 @@
 	"chutereach/account"
 )
 
-// Caller is who makes a call and on which route, by the table of the node that let the call
-// in. The node that serves the call looks again if its table is newer.
+// Caller identifies the caller and the route of a call by the table of the node that admitted it. The
+// node that serves the call checks it again if its own table is newer.
 type Caller struct {
-	// Account is the name of the client account; empty for a call without one, as routes
-	// that are not keyed take them.
+	// Account is the name of the client account. It is empty for a call without one, which
+	// only routes that are not keyed accept.
 	Account string         `cbor:"1,keyasint,omitempty"`
 	Key     account.Digest `cbor:"2,keyasint"`
 	Route   string         `cbor:"3,keyasint"`
 	Version uint64         `cbor:"4,keyasint"` // of the table
 }
 
-// KeyFault is why a call's key does not let it in.
+// KeyFault is the reason for which the key of a call is rejected.
 type KeyFault string
 
-// The faults of keys.
 const (
 	KeyMissing   KeyFault = "missing"
 	KeyMalformed KeyFault = "malformed"
 	KeyUnknown   KeyFault = "unknown"
 )
 
-// KeyError says that a call has no key that its route takes.
+// KeyError reports that a call has no valid key for its route.
 type KeyError struct{ Fault KeyFault }
 
-func (e *KeyError) Error() string { return fmt.Sprintf("the call's key is %s", e.Fault) }
+func (e *KeyError) Error() string {
+	return fmt.Sprintf("key of the call is %s, want the key of a client account", e.Fault)
+}
 
-// NoRouteError says that there is no such route; Route is empty if only another node knows
-// which was meant.
+// NoRouteError reports that no route matches. Route is empty if another node rejected the call.
 type NoRouteError struct{ Route string }
 
 func (e *NoRouteError) Error() string {
 	if e.Route == "" {
-		return "there is no such route"
+		return "no route for the call in the table of another node"
 	}
-	return fmt.Sprintf("there is no route %q", e.Route)
+	return fmt.Sprintf("no route %q in the table", e.Route)
 }
 
-// Identify returns who makes a call with a key on a route, and the terms of the account;
-// none without one. An empty key is none. Its cost does not grow with the number of
-// keys: one digest and one look into a map.
+// Identify returns the caller of a call with a key on a route, and the terms of its account. An empty
+// key means that the call has none. On a route that is not keyed, a call without a known key has no
+// account and zero terms.
 func (t Table) Identify(route Route, key string) (Caller, account.Terms, error) {
 	caller := Caller{Route: route.Name(), Version: t.Version}
 	if key == "" && !route.Keyed {
@@ -66,8 +66,8 @@
 	return caller, account.Terms{}, &KeyError{KeyUnknown}
 }
 
-// Recheck returns an error if a call that another node has let in may not be served by this
-// table. A table that is not newer than that node's has no say.
+// Recheck returns an error if this table does not admit a call that another node has admitted. Unless
+// it is newer than the table of that node, it admits every call.
 func (t Table) Recheck(caller Caller) error {
 	if t.Version <= caller.Version {
 		return nil
--- a/routing/caller_test.go
+++ b/routing/caller_test.go
@@ -10,9 +10,9 @@
 	"chutereach/workload"
 )
 
-// keyed returns a table with a keyed and an open route, and accounts that hold the keys of
-// their names.
-func keyed(version uint64, accounts ...string) routing.Table {
+// testTable returns a table with a keyed and an open route, and accounts with keys derived from their
+// names.
+func testTable(version uint64, accounts ...string) routing.Table {
 	table := routing.Table{Version: version, Routes: []routing.Route{
 		{Host: "h", Prefix: "/keyed/", Queue: workload.Queue{Name: "keyed"}, Keyed: true},
 		{Host: "h", Prefix: "/open/", Queue: workload.Queue{Name: "open"}},
@@ -37,7 +37,7 @@
 		{"/open/", "key of b", "", ""},
 		{"/open/", "", "", ""},
 	}
-	table := keyed(7, "a")
+	table := testTable(7, "a")
 	for _, test := range cases {
 		t.Run(test.path+test.key, func(t *testing.T) {
 			route, _, _ := table.Match("h", test.path)
@@ -55,15 +55,15 @@
 	var fault *routing.KeyError
 	switch {
 	case want == "" && err != nil:
-		t.Errorf("got %v, want none", err)
+		t.Errorf("got error %v, want none", err)
 	case want != "" && (!errors.As(err, &fault) || fault.Fault != want):
-		t.Errorf("got %v, want a key that is %s", err, want)
+		t.Errorf("got error %v, want KeyError with fault %s", err, want)
 	}
 }
 
 func TestRecheck(t *testing.T) {
 	identified := func(path, key string) routing.Caller {
-		table := keyed(7, "a", "b")
+		table := testTable(7, "a", "b")
 		route, _, _ := table.Match("h", path)
 		caller, _, err := table.Identify(route, key)
 		if err != nil {
@@ -71,12 +71,12 @@
 		}
 		return caller
 	}
-	moved := keyed(8, "a")
-	moved.Accounts[0].Terms.Name = "c"
-	closed := keyed(8, "a")
-	closed.Routes[1].Keyed = true
-	bare := keyed(8, "a", "b")
-	bare.Routes = bare.Routes[1:]
+	reassigned := testTable(8, "a")
+	reassigned.Accounts[0].Terms.Name = "c"
+	nowKeyed := testTable(8, "a")
+	nowKeyed.Routes[1].Keyed = true
+	withoutKeyed := testTable(8, "a", "b")
+	withoutKeyed.Routes = withoutKeyed.Routes[1:]
 	cases := []struct {
 		name    string
 		caller  routing.Caller
@@ -84,14 +84,14 @@
 		fault   routing.KeyFault
 		noRoute bool
 	}{
-		{"the same table", identified("/keyed/", "key of a"), keyed(7), "", false},
-		{"an older one without the key", identified("/keyed/", "key of a"), keyed(6), "", false},
-		{"a newer one with it", identified("/keyed/", "key of a"), keyed(8, "a"), "", false},
-		{"a newer one without it", identified("/keyed/", "key of b"), keyed(8, "a"), routing.KeyUnknown, false},
-		{"the key is another account's", identified("/keyed/", "key of a"), moved.WithIndex(), routing.KeyUnknown, false},
-		{"the route is gone", identified("/keyed/", "key of a"), bare.WithIndex(), "", true},
-		{"the route was open", identified("/open/", ""), closed.WithIndex(), routing.KeyUnknown, false},
-		{"the route is open", identified("/open/", ""), keyed(8), "", false},
+		{"the same table", identified("/keyed/", "key of a"), testTable(7), "", false},
+		{"an older table without the key", identified("/keyed/", "key of a"), testTable(6), "", false},
+		{"a newer table with the key", identified("/keyed/", "key of a"), testTable(8, "a"), "", false},
+		{"a newer table without the key", identified("/keyed/", "key of b"), testTable(8, "a"), routing.KeyUnknown, false},
+		{"the key is another account's", identified("/keyed/", "key of a"), reassigned.WithIndex(), routing.KeyUnknown, false},
+		{"the route was removed", identified("/keyed/", "key of a"), withoutKeyed.WithIndex(), "", true},
+		{"the route was open", identified("/open/", ""), nowKeyed.WithIndex(), routing.KeyUnknown, false},
+		{"the route is open", identified("/open/", ""), testTable(8), "", false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 			var noRoute *routing.NoRouteError
 			if test.noRoute {
 				if !errors.As(err, &noRoute) {
-					t.Errorf("got %v, want NoRouteError", err)
+					t.Errorf("got error %v, want NoRouteError", err)
 				}
 				return
 			}
@@ -108,7 +108,7 @@
 	}
 }
 
-// What the check of a key costs a request, by the number of accounts with three keys each.
+// BenchmarkIdentify measures key lookups by the number of accounts, with three keys each.
 func BenchmarkIdentify(b *testing.B) {
 	for _, count := range []int{1, 20, 1000, 100_000} {
 		table := routing.Table{Version: 1, Routes: []routing.Route{{Host: "h", Prefix: "/", Keyed: true}}}
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,4 +1,3 @@
-// Package routing knows by which route a call comes in and who makes it: the table of
-// routes and client accounts of one configuration, and the newest table that a node has
-// heard of.
+// Package routing matches calls to routes and identifies their callers. It holds the table of routes
+// and client accounts of one configuration, and the newest table known to a node.
 package routing
--- a/routing/newest.go
+++ b/routing/newest.go
@@ -5,29 +5,28 @@
 	"sync/atomic"
 )
 
-// Newest holds the newest table that was offered. The zero Newest holds none.
+// Newest holds the newest table offered to it; the zero Newest holds none. It is safe for concurrent
+// use.
 //
-// The table can be had without a lock: who is told of a change may wait for others, who
-// may ask for the table meanwhile.
+// Current and Lacks take no lock: a callback of OnChange can block on code that calls them.
 type Newest struct {
 	table atomic.Pointer[Table]
 
-	mu       sync.Mutex // held while a table is taken and told of, in order
+	mu       sync.Mutex // held while a table is stored and the callbacks run
 	onChange []func(Table)
 }
 
-// OnChange has f called with each newer table, in order.
+// OnChange registers f to be called with each newer table, in order of version.
 func (n *Newest) OnChange(f func(Table)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onChange = append(n.onChange, f)
 }
 
-// Offer takes a table if it is newer than the one held, and tells whether it
-// was.
+// Offer stores a table if it is newer than the current one, and reports whether it did.
 func (n *Newest) Offer(table Table) bool {
 	if !n.Lacks(table.Version) {
-		return false // the index of a large table is work
+		return false // avoid building the index
 	}
 	table = table.WithIndex()
 	n.mu.Lock()
@@ -42,13 +41,13 @@
 	return true
 }
 
-// Lacks reports whether a table of this version would be newer than the one held.
+// Lacks reports whether a table of this version is newer than the current one.
 func (n *Newest) Lacks(version uint64) bool {
 	table, known := n.Current()
 	return !known || version > table.Version
 }
 
-// Current returns the newest table, if there is one.
+// Current returns the newest table, if any.
 func (n *Newest) Current() (Table, bool) {
 	table := n.table.Load()
 	if table == nil {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -8,16 +8,16 @@
 	"chutereach/workload"
 )
 
-// Route sends the calls of a host whose paths begin with Prefix to a queue.
+// Route sends calls to a host whose paths begin with Prefix to a queue.
 type Route struct {
 	Host   string         `cbor:"1,keyasint"`
 	Prefix string         `cbor:"2,keyasint"`
 	Queue  workload.Queue `cbor:"3,keyasint"`
-	// Keyed routes take only calls with a key of a client account.
+	// Keyed routes accept only calls with a key of a client account.
 	Keyed bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Name returns the route's name, by which versions of it are told from other routes.
+// Name returns the name that identifies the route across configurations.
 func (r Route) Name() string { return r.Queue.Name }
 
 // Limits bound what a caller may send.
@@ -26,7 +26,7 @@
 	BodyBytes   int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Table is the routes and the client accounts of one configuration. It never changes.
+// Table holds the routes and the client accounts of one configuration. It is immutable.
 type Table struct {
 	Version  uint64            `cbor:"1,keyasint"`
 	Routes   []Route           `cbor:"2,keyasint"`
@@ -38,7 +38,7 @@
 	directory account.Directory
 }
 
-// WithIndex returns the table ready to be asked.
+// WithIndex returns the table with the indexes that its lookups need.
 func (t Table) WithIndex() Table {
 	t.directory = account.NewDirectory(t.Accounts)
 	t.byHost = make(map[string][]Route)
@@ -54,7 +54,8 @@
 	return t
 }
 
-// Match returns the route of a call and what follows the prefix in its path.
+// Match returns the route of a call and the part of its path after the prefix. The longest matching
+// prefix wins, and a port in host is ignored.
 func (t Table) Match(host, path string) (route Route, rest string, ok bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, candidate := range t.byHost[host] {
@@ -65,7 +66,6 @@
 	return Route{}, "", false
 }
 
-// Queues returns the queues of all routes.
 func (t Table) Queues() []workload.Queue {
 	queues := make([]workload.Queue, 0, len(t.Routes))
 	for _, route := range t.Routes {
@@ -74,5 +74,4 @@
 	return queues
 }
 
-// Directory returns the client accounts.
 func (t Table) Directory() account.Directory { return t.directory }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -33,39 +33,39 @@
 	for _, test := range cases {
 		route, rest, ok := indexed.Match(test.host, test.path)
 		if ok != (test.queue != "") || route.Queue.Name != test.queue || rest != test.rest {
-			t.Errorf("%s%s: %q, %q, want %q, %q", test.host, test.path, route.Queue.Name, rest, test.queue, test.rest)
+			t.Errorf("Match(%s%s): queue %q, rest %q, want %q, %q", test.host, test.path, route.Queue.Name, rest, test.queue, test.rest)
 		}
 	}
 }
 
-func TestNewestNeverGoesBack(t *testing.T) {
+func TestNewestKeepsNewestTable(t *testing.T) {
 	var newest routing.Newest
 	if _, ok := newest.Current(); ok {
-		t.Error("a table before the first one")
+		t.Error("a table is current before the first offer, want none")
 	}
-	var seen []uint64
-	newest.OnChange(func(table routing.Table) { seen = append(seen, table.Version) })
-	var racing sync.WaitGroup
+	var versions []uint64
+	newest.OnChange(func(table routing.Table) { versions = append(versions, table.Version) })
+	var wg sync.WaitGroup
 	for version := range uint64(50) {
-		racing.Go(func() { newest.Offer(table(version)) })
+		wg.Go(func() { newest.Offer(table(version)) })
 	}
-	racing.Wait()
+	wg.Wait()
 	if current, _ := newest.Current(); current.Version != 49 {
-		t.Errorf("version %d, want 49", current.Version)
+		t.Errorf("current version %d, want 49", current.Version)
 	}
-	for i := 1; i < len(seen); i++ {
-		if seen[i] <= seen[i-1] {
-			t.Fatalf("versions came in the order %v", seen)
+	for i := 1; i < len(versions); i++ {
+		if versions[i] <= versions[i-1] {
+			t.Fatalf("callbacks called in the order %v, want increasing versions", versions)
 		}
 	}
 	if newest.Offer(table(49)) || newest.Offer(table(3)) {
-		t.Error("an old table was taken")
+		t.Error("Offer accepted a table that is not newer")
 	}
 }
 
-// Finding of the soak, seed 2042: who was told of a new table waited for a lock whose holder
-// asked for the current one, and an owner stood still for good.
-func TestTheTableIsThereWhileItsChangeIsTold(t *testing.T) {
+// Current and Lacks must not block while an OnChange callback runs: a callback may wait for code that
+// calls them, which would deadlock.
+func TestCurrentDuringOnChange(t *testing.T) {
 	var newest routing.Newest
 	newest.Offer(table(1))
 	newest.OnChange(func(changed routing.Table) {
@@ -78,10 +78,10 @@
 		select {
 		case version := <-seen:
 			if version != changed.Version {
-				t.Errorf("version %d is current while %d is told", version, changed.Version)
+				t.Errorf("current version %d during the callback, want %d", version, changed.Version)
 			}
 		case <-time.After(10 * time.Second):
-			t.Error("the current table cannot be had while a change is told")
+			t.Error("Current and Lacks blocked for 10 s during the callback")
 			go func() { <-seen }()
 		}
 	})
