--- a/urgency/urgency.go
+++ b/urgency/urgency.go
@@ -40,7 +40,8 @@
 	Arrived, Deadline time.Time
 	// Chain is the estimated duration of the critical path that remains.
 	Chain time.Duration
-	// Untimed work has no deadline to meet: it runs indefinitely or has a schedule of its own.
+	// Untimed is set for work without a deadline, which runs indefinitely or has a schedule of
+	// its own.
 	Untimed bool
 	// Idle is how long the job has had no task on a worker; 0 if it has one.
 	Idle time.Duration
@@ -53,14 +54,16 @@
 	Rank Rank
 	// Latest is the latest time at which the critical path can start and meet the deadline.
 	Latest time.Time
-	// Pressed steps may preempt work of lesser queues.
+	// Pressed is set if the step may preempt work of lesser queues.
 	Pressed bool
 	// MayWait is set if the step may be held back although there is room, because its job
 	// has a task on a worker or has been idle only briefly.
 	MayWait bool
-	// Patient steps leave room to gangs of higher-priority queues, waiting or expected.
+	// Patient is set if the step leaves room to gangs of higher-priority queues, waiting or
+	// expected.
 	Patient bool
-	// Beyond steps are ordered after those of the same rank within their accounts' share.
+	// Beyond is set if the job exceeds the fair share of its account. Its steps are ordered after
+	// other steps of the same rank.
 	Beyond bool
 }
 
