--- a/routing/newest.go
+++ b/routing/newest.go
@@ -8,7 +8,7 @@
 // Newest holds the newest table offered to it; the zero Newest holds none. It is safe for concurrent
 // use.
 //
-// Current and Lacks take no lock: a callback of OnChange can block on code that calls them.
+// Reads take no lock, so that a callback of OnChange can wait for code that reads the table.
 type Newest struct {
 	table atomic.Pointer[Table]
 
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Current and Lacks must not block while an OnChange callback runs: a callback may wait for code that
-// calls them, which would deadlock.
+// Reads must not block while an OnChange callback runs: a callback may wait for code that reads the
+// table, which would deadlock.
 func TestCurrentDuringOnChange(t *testing.T) {
 	var newest routing.Newest
 	newest.Offer(table(1))
@@ -81,7 +81,7 @@
 				t.Errorf("current version %d during the callback, want %d", version, changed.Version)
 			}
 		case <-time.After(10 * time.Second):
-			t.Error("Current and Lacks blocked for 10 s during the callback")
+			t.Error("reads blocked for 10 s during the callback")
 			go func() { <-seen }()
 		}
 	})
