--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -12,19 +12,19 @@
 	// deviations how many of them are waited for: as in RFC 6298.
 	meanWeight      = 1.0 / 8
 	deviationWeight = 1.0 / 4
-	deviations      = 4
+	deviationFactor = 4
 	// lossWeight is the weight of the newest call in the share of calls without
 	// answer. From lossyFrom on calls are held open for less, and no more from
 	// lossyUntil on; some thousand calls are made in ten seconds.
-	lossWeight = 1.0 / 200
-	lossyFrom  = 0.01
-	lossyUntil = 0.004
+	lossWeight          = 1.0 / 200
+	lossyThreshold      = 0.01
+	lossyClearThreshold = 0.004
 )
 
 // answers is what an owner concludes of how workers answer: how soon, and how often
 // not at all, those apart that do not answer anything.
 type answers struct {
-	known     bool
+	measured  bool
 	mean      time.Duration
 	deviation time.Duration
 	loss      float64
@@ -33,21 +33,21 @@
 
 // took takes in an answer to an order.
 func (a *answers) took(d time.Duration) {
-	if !a.known {
-		a.known, a.mean, a.deviation = true, d, d/2
+	if !a.measured {
+		a.measured, a.mean, a.deviation = true, d, d/2
 		return
 	}
-	off := max(a.mean-d, d-a.mean)
-	a.deviation += time.Duration(deviationWeight * float64(off-a.deviation))
+	diff := max(a.mean-d, d-a.mean)
+	a.deviation += time.Duration(deviationWeight * float64(diff-a.deviation))
 	a.mean += time.Duration(meanWeight * float64(d-a.mean))
 }
 
 // limit returns how long an answer to an order is waited for.
 func (a *answers) limit() time.Duration {
-	if !a.known {
+	if !a.measured {
 		return mostLimit
 	}
-	return min(mostLimit, max(leastLimit, a.mean+deviations*a.deviation))
+	return min(mostLimit, max(leastLimit, a.mean+deviationFactor*a.deviation))
 }
 
 // came takes in whether a call had an answer, at a worker that had answered before. It
@@ -59,30 +59,30 @@
 		a.loss += lossWeight
 	}
 	switch {
-	case a.loss >= lossyFrom:
+	case a.loss >= lossyThreshold:
 		a.lossy = true
-	case a.loss < lossyUntil:
+	case a.loss < lossyClearThreshold:
 		a.lossy = false
 	}
 	return was != a.lossy
 }
 
 const (
-	// latenessRatio is by how many times its own lateness an owner waits longer for
+	// latenessFactor is by how many times its own lateness an owner waits longer for
 	// answers: each goes through several goroutines.
-	latenessRatio = 10
-	// lateFrom is the lateness from which calls without answer say nothing of workers.
-	lateFrom = 5 * time.Millisecond
+	latenessFactor = 10
+	// lateThreshold is the lateness from which calls without answer say nothing of workers.
+	lateThreshold = 5 * time.Millisecond
 )
 
 // patience returns how much longer an owner that is late itself waits for answers: to
 // give up and ask again would make it later still.
-func (s *Scheduler) patience() time.Duration { return latenessRatio * s.lateness() }
+func (s *Scheduler) patience() time.Duration { return latenessFactor * s.lateness() }
 
 // noteAnswer takes in whether a worker that had answered before answered a call. The
 // lock is held.
 func (s *Scheduler) noteAnswer(answered bool) {
-	if !answered && s.lateness() > lateFrom {
+	if !answered && s.lateness() > lateThreshold {
 		return
 	}
 	if s.answers.came(answered) {
--- a/scheduler/callgate.go
+++ b/scheduler/callgate.go
@@ -11,77 +11,77 @@
 // takeover thousands of workers are called for the first time at once. What has ended on the few
 // that have work is what callers wait for; an idle worker has nothing to tell.
 type callGate struct {
-	mu      sync.Mutex
-	free    int
-	ahead   []callTurn // calls that wait
-	waiting []callTurn
+	mu       sync.Mutex
+	free     int
+	priority []callSlot // calls that wait
+	normal   []callSlot
 }
 
-// callTurn is closed when a call may go.
-type callTurn chan struct{}
+// callSlot is closed when a call may go.
+type callSlot chan struct{}
 
 func newCallGate(calls int) *callGate { return &callGate{free: calls} }
 
-// queue gives a call its place. It is to be awaited.
-func (g *callGate) queue(ahead bool) callTurn {
+// enqueue gives a call its place. It is to be awaited.
+func (g *callGate) enqueue(ahead bool) callSlot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	turn := make(callTurn)
+	slot := make(callSlot)
 	switch {
 	case g.free > 0:
 		g.free--
-		close(turn)
+		close(slot)
 	case ahead:
-		g.ahead = append(g.ahead, turn)
+		g.priority = append(g.priority, slot)
 	default:
-		g.waiting = append(g.waiting, turn)
+		g.normal = append(g.normal, slot)
 	}
-	return turn
+	return slot
 }
 
-// await waits until a call may go; it then must leave. If ctx ends first, its place is given up.
-func (g *callGate) await(ctx context.Context, turn callTurn) error {
+// acquire waits until a call may go; it then must leave. If ctx ends first, its place is given up.
+func (g *callGate) acquire(ctx context.Context, slot callSlot) error {
 	select {
-	case <-turn:
+	case <-slot:
 		return nil
 	case <-ctx.Done():
-		g.abandon(turn)
+		g.cancel(slot)
 		return ctx.Err()
 	}
 }
 
-// abandon gives up a turn that was waited for, and passes it on if it has come meanwhile.
-func (g *callGate) abandon(turn callTurn) {
+// cancel gives up a turn that was waited for, and passes it on if it has come meanwhile.
+func (g *callGate) cancel(slot callSlot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	same := func(other callTurn) bool { return other == turn }
-	before := len(g.ahead) + len(g.waiting)
-	g.ahead, g.waiting = slices.DeleteFunc(g.ahead, same), slices.DeleteFunc(g.waiting, same)
-	if len(g.ahead)+len(g.waiting) == before {
-		g.pass()
+	same := func(other callSlot) bool { return other == slot }
+	before := len(g.priority) + len(g.normal)
+	g.priority, g.normal = slices.DeleteFunc(g.priority, same), slices.DeleteFunc(g.normal, same)
+	if len(g.priority)+len(g.normal) == before {
+		g.grantNext()
 	}
 }
 
-// leaveWithin lets the next call go after a time, or as soon as the function that it returns is
+// releaseAfter lets the next call go after a time, or as soon as the function that it returns is
 // called.
-func (g *callGate) leaveWithin(turn time.Duration) func() {
-	leave := sync.OnceFunc(func() {
+func (g *callGate) releaseAfter(limit time.Duration) func() {
+	release := sync.OnceFunc(func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.pass()
+		g.grantNext()
 	})
-	timer := time.AfterFunc(turn, leave)
+	timer := time.AfterFunc(limit, release)
 	return func() {
 		timer.Stop()
-		leave()
+		release()
 	}
 }
 
-// pass gives a place to the next call. The lock is held.
-func (g *callGate) pass() {
-	queue := &g.ahead
+// grantNext gives a place to the next call. The lock is held.
+func (g *callGate) grantNext() {
+	queue := &g.priority
 	if len(*queue) == 0 {
-		queue = &g.waiting
+		queue = &g.normal
 	}
 	if len(*queue) == 0 {
 		g.free++
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -14,107 +14,107 @@
 // names it; only the last two count. A task with too many is given up with its job.
 
 const (
-	// settledAfter is how long an attempt must have run for the end of its worker not to be
+	// settleTime is how long an attempt must have run for the end of its worker not to be
 	// blamed on it. Tasks that crash their workers were seen to do so within 10 ms. The
 	// longer it is, the more often unrelated ends give a sound job up: in randomized runs
 	// 4 of 20,893 jobs with 250 ms.
-	settledAfter = 250 * time.Millisecond
-	// clearedAfter is how long an attempt must have run for the workers that ended before
+	settleTime = 250 * time.Millisecond
+	// crashResetTime is how long an attempt must have run for the workers that ended before
 	// to be forgotten: a task that lasts for months loses many workers without causing it.
-	clearedAfter = time.Minute
-	// togetherWithin is how close together several workers must end for a common cause to be
+	crashResetTime = time.Minute
+	// correlationWindow is how close together several workers must end for a common cause to be
 	// likely, such as a rack without power, and togetherMost is how many others may end at
 	// that moment for a task to be blamed all the same: two such tasks may start together.
-	togetherWithin = 150 * time.Millisecond
-	togetherMost   = 1
-	// breaksKept is for how long a broken connection is remembered: the longest lease.
-	breaksKept = 20 * time.Second
-	// listedAlive is after how long without answer a worker that discovery still names
+	correlationWindow = 150 * time.Millisecond
+	maxCorrelatedEnds = 1
+	// disconnectRetention is for how long a broken connection is remembered: the longest lease.
+	disconnectRetention = 20 * time.Second
+	// listedAliveDelay is after how long without answer a worker that discovery still names
 	// counts as alive and out of this owner's reach: entries go after three heartbeats of
 	// silence, 4.5 s with the platform's 1.5 s.
-	listedAlive = 6 * time.Second
+	listedAliveDelay = 6 * time.Second
 )
 
 // breakage is a moment at which the connection to a worker broke.
 type breakage struct {
-	at     time.Time
-	worker *worker
-	jobs   []*job // with attempts there that had not settled
-	tried  bool   // a trial was under way there, which explains the end
+	at      time.Time
+	worker  *worker
+	jobs    []*job // with attempts there that had not settled
+	onTrial bool   // a trial was under way there, which explains the end
 }
 
-// noteBreak remembers that a worker's side has closed its connection. The lock is held.
-func (s *Scheduler) noteBreak(w *worker, now time.Time) {
-	s.breaks = slices.DeleteFunc(s.breaks, func(b breakage) bool { return now.Sub(b.at) > breaksKept })
+// recordDisconnect remembers that a worker's side has closed its connection. The lock is held.
+func (s *Scheduler) recordDisconnect(w *worker, now time.Time) {
+	s.breaks = slices.DeleteFunc(s.breaks, func(b breakage) bool { return now.Sub(b.at) > disconnectRetention })
 	var jobs []*job
 	for _, t := range w.tasks {
 		if !t.settledBy(now) {
 			jobs = append(jobs, t.step.job)
 		}
 	}
-	s.breaks = append(s.breaks, breakage{now, w, jobs, w.trial.begun && w.unsettled(now)})
+	s.breaks = append(s.breaks, breakage{now, w, jobs, w.trial.started && w.trialUnsettled(now)})
 }
 
 // settledBy reports whether the attempt at hand had run long enough at a time.
 func (t *task) settledBy(at time.Time) bool {
-	return !t.begunAt.IsZero() && at.Sub(t.begunAt) >= settledAfter
+	return !t.begunAt.IsZero() && at.Sub(t.begunAt) >= settleTime
 }
 
-// brokeAlone reports whether hardly any other worker ended when w did, those aside on which
+// endedAlone reports whether hardly any other worker ended when w did, those aside on which
 // the job had begun attempts too or on which a trial was under way.
-func (s *Scheduler) brokeAlone(w *worker, j *job) bool {
+func (s *Scheduler) endedAlone(w *worker, j *job) bool {
 	others := 0
 	for _, b := range s.breaks {
-		together := b.worker != w && b.at.Sub(w.failedAt).Abs() < togetherWithin
-		if together && !b.tried && !slices.Contains(b.jobs, j) {
+		correlated := b.worker != w && b.at.Sub(w.unresponsiveSince).Abs() < correlationWindow
+		if correlated && !b.onTrial && !slices.Contains(b.jobs, j) {
 			others++
 		}
 	}
-	return others <= togetherMost
+	return others <= maxCorrelatedEnds
 }
 
-// noteLost notes that the attempt at hand is lost with its worker. It is called before the
+// recordLost notes that the attempt at hand is lost with its worker. It is called before the
 // attempt ends. The lock is held.
-func (s *Scheduler) noteLost(t *task) {
+func (s *Scheduler) recordLost(t *task) {
 	w := t.worker
 	if !t.told || w.leaving {
 		return
 	}
-	if t.ran() >= clearedAfter {
+	if t.runTime() >= crashResetTime {
 		t.crashes = workload.Crashes{}
 		return
 	}
-	evidence := s.evidence(t)
+	evidence := s.crashEvidence(t)
 	t.crashes = t.crashes.WithLost(w.info.Life, evidence)
 	if evidence != workload.RanOn {
-		s.suspect(t.step)
+		s.markSuspected(t.step)
 	}
 	w.lost = append(w.lost, lostAttempt{t, t.attempt})
 }
 
-// suspect puts a step under suspicion.
-func (s *Scheduler) suspect(st *step) {
+// markSuspected puts a step under suspicion.
+func (s *Scheduler) markSuspected(st *step) {
 	if !st.suspected {
 		s.metrics.suspected.Add(1)
 	}
 	st.suspected, st.passed = true, false
 }
 
-// evidence judges the attempt at hand, which is lost with its worker.
-func (s *Scheduler) evidence(t *task) workload.Evidence {
+// crashEvidence judges the attempt at hand, which is lost with its worker.
+func (s *Scheduler) crashEvidence(t *task) workload.Evidence {
 	w := t.worker
-	alive := w.contact
-	if w.closed {
-		alive = w.failedAt
+	lastAlive := w.contact
+	if w.connectionClosed {
+		lastAlive = w.unresponsiveSince
 	}
 	switch {
 	case t.recovered: // when the worker ended is not known to an owner that never reached it
 		return workload.Unclear
 	case t.begunAt.IsZero() && !t.cutShort: // it may never have reached the worker
 		return workload.Unclear
-	case t.settledBy(alive):
+	case t.settledBy(lastAlive):
 		return workload.RanOn
-	case w.closed && s.brokeAlone(w, t.step.job):
+	case w.connectionClosed && s.endedAlone(w, t.step.job):
 		return workload.AtOnce
 	}
 	return workload.Unclear
@@ -126,8 +126,8 @@
 	number int
 }
 
-// names returns lost attempts as TASK#ATTEMPT.
-func names(lost []lostAttempt) []string {
+// attemptNames returns lost attempts as TASK#ATTEMPT.
+func attemptNames(lost []lostAttempt) []string {
 	list := make([]string, 0, len(lost))
 	for _, l := range lost {
 		list = append(list, l.task.attemptName(l.number))
@@ -135,8 +135,8 @@
 	return list
 }
 
-// settleFound clears what was lost with a worker that answers again. The lock is held.
-func (s *Scheduler) settleFound(w *worker) {
+// clearLost clears what was lost with a worker that answers again. The lock is held.
+func (s *Scheduler) clearLost(w *worker) {
 	for _, lost := range w.lost {
 		if j := lost.task.step.job; !j.state.Final() {
 			lost.task.crashes = lost.task.crashes.WithFound(w.info.Life)
@@ -146,9 +146,9 @@
 	w.lost = nil
 }
 
-// settleEnded counts what was lost with a worker that has ended, and gives up the jobs of
+// countLost counts what was lost with a worker that has ended, and gives up the jobs of
 // tasks with too many. The lock is held.
-func (s *Scheduler) settleEnded(w *worker) {
+func (s *Scheduler) countLost(w *worker) {
 	for _, lost := range w.lost {
 		t := lost.task
 		j := t.step.job
@@ -162,15 +162,15 @@
 			Msg("worker has ended under a task")
 		s.change(j)
 		if !t.hosted() {
-			s.giveUpCrashing(t)
+			s.failIfCrashing(t)
 		}
 	}
 	w.lost = nil
 }
 
-// giveUpCrashing gives up the job of a task under which too many workers have ended. The
+// failIfCrashing gives up the job of a task under which too many workers have ended. The
 // lock is held.
-func (s *Scheduler) giveUpCrashing(t *task) {
+func (s *Scheduler) failIfCrashing(t *task) {
 	if t.state == taskDone || !t.crashes.GivenUp(t.attempt) {
 		return
 	}
@@ -180,14 +180,14 @@
 
 // settleListed takes workers that discovery has gone on naming for alive. The lock is held.
 func (s *Scheduler) settleListed(now time.Time) {
-	if since := s.term.FailingSince(); !since.IsZero() || now.Sub(s.term.RestoredAt()) < listedAlive {
+	if since := s.term.FailingSince(); !since.IsZero() || now.Sub(s.term.RestoredAt()) < listedAliveDelay {
 		return // the list may be old
 	}
 	for _, w := range s.workers {
-		if len(w.lost) > 0 && w.failing && w.known && now.Sub(w.failedAt) > listedAlive {
-			s.log.Info().Str("worker", w.info.ID).Strs("lost", names(w.lost)).Dur("silent", now.Sub(w.failedAt)).
+		if len(w.lost) > 0 && w.failing && w.known && now.Sub(w.unresponsiveSince) > listedAliveDelay {
+			s.log.Info().Str("worker", w.info.ID).Strs("lost", attemptNames(w.lost)).Dur("silent", now.Sub(w.unresponsiveSince)).
 				Msg("worker is listed and out of reach")
-			s.settleFound(w)
+			s.clearLost(w)
 		}
 	}
 }
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -7,9 +7,9 @@
 	"chutereach/workload"
 )
 
-// failurePause holds a task back after a failure, so that a broken worker does
+// failureBackoff holds a task back after a failure, so that a broken worker does
 // not burn its attempts in an instant.
-const failurePause = 50 * time.Millisecond
+const failureBackoff = 50 * time.Millisecond
 
 // endAttempt takes in that a task's attempt is over. The lock is held.
 func (s *Scheduler) endAttempt(t *task, outcome fleet.Outcome, checkpoint, why string) {
@@ -20,7 +20,7 @@
 	}
 	s.logEnd(t, outcome, why)
 	s.metrics.end(outcome)
-	s.noteOutcome(t, outcome, time.Now())
+	s.recordOutcome(t, outcome, time.Now())
 	w.release(t)
 	switch {
 	case !t.told:
@@ -28,7 +28,7 @@
 	case outcome != fleet.Lapsed && !t.begunAt.IsZero():
 		t.crashes = t.crashes.WithSettled() // its worker has outlived it
 	}
-	s.settleTrial(w, time.Now())
+	s.finishTrial(w, time.Now())
 	t.ticket, t.recovered = "", false
 	if t.state != taskDone {
 		t.state = taskWaiting
@@ -40,18 +40,18 @@
 	}
 	switch {
 	case outcome == fleet.Done && !st.spec.Lasting:
-		s.taskDone(t)
+		s.handleTaskDone(t)
 	case outcome == fleet.Failed && !st.spec.Lasting:
 		t.failedOn = w
-		s.taskFailed(t)
+		s.handleTaskFailure(t)
 	case outcome == fleet.Failed:
-		st.retryAt = time.Now().Add(failurePause)
+		st.retryAt = time.Now().Add(failureBackoff)
 	}
 	if st.spec.Gang && !st.done() && !j.state.Final() {
 		s.breakGang(st, t.attempt, "another member of the gang ended")
 	}
 	if !j.state.Final() {
-		s.giveUpCrashing(t)
+		s.failIfCrashing(t)
 	}
 }
 
@@ -62,20 +62,20 @@
 	}
 	event.Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
 		Str("worker", t.worker.info.ID).Str("outcome", string(outcome)).Str("why", why).
-		Dur("ran", t.ran()).Int("failures", t.failures).Msg("attempt over")
+		Dur("ran", t.runTime()).Int("failures", t.failures).Msg("attempt over")
 }
 
-// ran returns for how long the attempt at hand is known to have run: from when its worker
+// runTime returns for how long the attempt at hand is known to have run: from when its worker
 // confirmed it until the last answer of the worker.
-func (t *task) ran() time.Duration {
+func (t *task) runTime() time.Duration {
 	if t.begunAt.IsZero() {
 		return 0
 	}
 	return max(0, t.worker.contact.Sub(t.begunAt))
 }
 
-// taskDone takes in that a task is done; a gang is done with its first member.
-func (s *Scheduler) taskDone(t *task) {
+// handleTaskDone takes in that a task is done; a gang is done with its first member.
+func (s *Scheduler) handleTaskDone(t *task) {
 	st := t.step
 	if st.spec.Gang {
 		for _, member := range st.tasks {
@@ -90,8 +90,8 @@
 	}
 }
 
-// taskFailed counts a failure, and gives the job up after the last one.
-func (s *Scheduler) taskFailed(t *task) {
+// handleTaskFailure counts a failure, and gives the job up after the last one.
+func (s *Scheduler) handleTaskFailure(t *task) {
 	st := t.step
 	t.failures++
 	if st.spec.Gang {
@@ -99,7 +99,7 @@
 			member.failures = t.failures
 		}
 	}
-	st.retryAt = time.Now().Add(failurePause)
+	st.retryAt = time.Now().Add(failureBackoff)
 	if t.failures >= st.job.record.Queue.Attempts {
 		s.finish(st.job, workload.Failed, "a task has failed "+t.id().String())
 	}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -10,16 +10,16 @@
 const (
 	// speedWeight is the weight of the newest sample in the mean.
 	speedWeight = 0.3
-	// sampleEvery is the least time over which progress is measured, fastest the
+	// minSampleInterval is the least time over which progress is measured, fastest the
 	// most that a sample counts for, and recoverTime how soon a worker without
 	// samples counts as sound again.
-	sampleEvery = 150 * time.Millisecond
-	fastest     = 3.0
-	recoverTime = 4 * time.Second
-	// stalledAfter is how long a task's progress may stand still, at the least,
+	minSampleInterval = 150 * time.Millisecond
+	maxSampleSpeed    = 3.0
+	slownessDecay     = 4 * time.Second
+	// minStallTimeout is how long a task's progress may stand still, at the least,
 	// and stalledShare the same as a share of its estimate.
-	stalledAfter = 1500 * time.Millisecond
-	stalledShare = 0.15
+	minStallTimeout      = 1500 * time.Millisecond
+	stallTimeoutFraction = 0.15
 )
 
 // health is what an owner concludes of a worker from how attempts go there. It
@@ -31,9 +31,9 @@
 	sampledAt   time.Time
 }
 
-// noteOutcome takes in how an attempt has ended on its worker. A task that has failed on
+// recordOutcome takes in how an attempt has ended on its worker. A task that has failed on
 // another worker before fails by its own doing, most likely, and did so there too.
-func (s *Scheduler) noteOutcome(t *task, outcome fleet.Outcome, now time.Time) {
+func (s *Scheduler) recordOutcome(t *task, outcome fleet.Outcome, now time.Time) {
 	h := &t.worker.health
 	switch {
 	case outcome == fleet.Done:
@@ -43,12 +43,12 @@
 		t.failedOn.health.reliability = t.failedOn.health.reliability.WithForgiven()
 	default:
 		h.reliability = h.reliability.WithFailed(t.step.job.id, now)
-		s.logStanding(t.worker, now)
+		s.logIfQuarantined(t.worker, now)
 	}
 }
 
-// logStanding writes a line for a worker that is put into quarantine.
-func (s *Scheduler) logStanding(w *worker, now time.Time) {
+// logIfQuarantined writes a line for a worker that is put into quarantine.
+func (s *Scheduler) logIfQuarantined(w *worker, now time.Time) {
 	if w.health.reliability.Standing(now) != reliability.Quarantined {
 		return
 	}
@@ -57,13 +57,13 @@
 		Msg("worker fails and gets nothing for a while")
 }
 
-// mostSpared is the share of a service's workers that may be spared. Where more seem to fail
+// maxAvoidedFraction is the share of a service's workers that may be spared. Where more seem to fail
 // it is not for them to be told from sound ones, and all are used.
-const mostSpared = 0.25
+const maxAvoidedFraction = 0.25
 
 // relies reports whether work may go to a worker, by how attempts have ended there of late.
 func (p *pass) relies(w *worker, precious bool) bool {
-	if w.standing == reliability.Sound || p.sparing[w.info.Service].tooMany() {
+	if w.standing == reliability.Sound || p.sparing[w.info.Service].tooManyAvoided() {
 		return true // most are sound: a look asks this of each worker for each step
 	}
 	return w.standing.Takes(reliability.Work{Precious: precious, Beside: len(w.tasks)})
@@ -72,16 +72,16 @@
 // sparing counts the usable workers of a service, and those of them that are spared.
 type sparing struct{ all, spared int }
 
-func (s sparing) tooMany() bool { return float64(s.spared) > mostSpared*float64(s.all) }
+func (s sparing) tooManyAvoided() bool { return float64(s.spared) > maxAvoidedFraction*float64(s.all) }
 
 // last reports whether the task's next failure ends its job.
 func (t *task) last() bool {
 	return !t.step.spec.Lasting && t.failures+1 >= t.step.job.record.Queue.Attempts
 }
 
-// progressed takes in how fast a task went since the last sample.
-func (h *health) progressed(speed float64, now time.Time) {
-	speed = min(fastest, speed)
+// addSpeed takes in how fast a task went since the last sample.
+func (h *health) addSpeed(speed float64, now time.Time) {
+	speed = min(maxSampleSpeed, speed)
 	if h.speed == 0 && h.sampledAt.IsZero() {
 		h.speed = speed
 	} else {
@@ -97,29 +97,29 @@
 		return 0
 	}
 	slow := max(0, 1-h.speed/fleetSpeed)
-	forgotten := min(1, float64(now.Sub(h.sampledAt))/float64(recoverTime))
-	return slow * (1 - forgotten)
+	decay := min(1, float64(now.Sub(h.sampledAt))/float64(slownessDecay))
+	return slow * (1 - decay)
 }
 
-// sample measures a task's progress, as a worker reports it.
-func (s *Scheduler) sample(t *task, percent int, now time.Time) {
+// sampleProgress measures a task's progress, as a worker reports it.
+func (s *Scheduler) sampleProgress(t *task, percent int, now time.Time) {
 	if t.sampledAt.IsZero() {
 		t.sampledAt, t.sampled = now, percent
 		return
 	}
 	elapsed := now.Sub(t.sampledAt)
-	if elapsed < sampleEvery || t.step.spec.Estimate == 0 || t.step.spec.Lasting || t.step.spec.Gang {
+	if elapsed < minSampleInterval || t.step.spec.Estimate == 0 || t.step.spec.Lasting || t.step.spec.Gang {
 		return
 	}
 	moved := float64(percent-t.sampled) / 100 * float64(t.step.spec.Estimate)
 	speed := max(0, moved/float64(elapsed))
-	t.worker.health.progressed(speed, now)
-	s.fleetSpeed += (min(fastest, speed) - s.fleetSpeed) * fleetWeight
+	t.worker.health.addSpeed(speed, now)
+	s.fleetSpeed += (min(maxSampleSpeed, speed) - s.fleetSpeed) * fleetSpeedWeight
 	t.sampledAt, t.sampled = now, percent
 }
 
-// fleetWeight is the weight of the newest sample in the mean speed of the fleet.
-const fleetWeight = 0.01
+// fleetSpeedWeight is the weight of the newest sample in the mean speed of the fleet.
+const fleetSpeedWeight = 0.01
 
 // stalled reports whether a task's progress stands still.
 func (s *Scheduler) stalled(t *task, now time.Time) bool {
@@ -127,26 +127,26 @@
 		return false
 	}
 	urgent := t.step.job.record.Queue.Priority == 0
-	if t.step.spec.Gang && (!urgent || t.worker.health.slowness(s.fleetSpeed, now) < implicated) {
+	if t.step.spec.Gang && (!urgent || t.worker.health.slowness(s.fleetSpeed, now) < slowThreshold) {
 		return false // another member may hold it up, and much work would be lost
 	}
-	patience := max(stalledAfter, time.Duration(stalledShare*float64(t.step.spec.Estimate)))
-	return now.Sub(t.movedAt) > patience && now.Sub(t.begunAt) > patience
+	timeout := max(minStallTimeout, time.Duration(stallTimeoutFraction*float64(t.step.spec.Estimate)))
+	return now.Sub(t.movedAt) > timeout && now.Sub(t.begunAt) > timeout
 }
 
-// dragging reports whether an urgent task has hardly begun on a worker that has
+// shouldMoveOffSlowWorker reports whether an urgent task has hardly begun on a worker that has
 // turned slow, so that it ends sooner elsewhere.
-func (s *Scheduler) dragging(t *task, now time.Time) bool {
+func (s *Scheduler) shouldMoveOffSlowWorker(t *task, now time.Time) bool {
 	spec := t.step.spec
 	return t.state == taskRunning && t.step.job.record.Queue.Priority == 0 && !spec.Gang && !spec.Lasting && !t.movedOnce && !t.crashes.Numbered() &&
-		t.percent < dragPercent && now.Sub(t.begunAt) > dragAfter && t.worker.health.slowness(s.fleetSpeed, now) > implicated
+		t.percent < slowCheckPercent && now.Sub(t.begunAt) > slowCheckDelay && t.worker.health.slowness(s.fleetSpeed, now) > slowThreshold
 }
 
 const (
-	// implicated is the slowness from which a worker is to blame.
-	implicated = 0.65
-	// dragAfter is how long a task is given, and dragPercent what it should have
+	// slowThreshold is the slowness from which a worker is to blame.
+	slowThreshold = 0.65
+	// slowCheckDelay is how long a task is given, and dragPercent what it should have
 	// done by then.
-	dragAfter   = 300 * time.Millisecond
-	dragPercent = 35
+	slowCheckDelay   = 300 * time.Millisecond
+	slowCheckPercent = 35
 )
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -12,45 +12,45 @@
 const (
 	// holdWait is how long a worker may keep a call open until an end comes.
 	holdWait = time.Second
-	// holdSlack is how much longer the answer is waited for.
-	holdSlack = 400 * time.Millisecond
+	// holdGrace is how much longer the answer is waited for.
+	holdGrace = 400 * time.Millisecond
 	// holdPause follows a call that failed, noteWait one whose ends are not yet
 	// in the store.
-	holdPause = 200 * time.Millisecond
-	noteWait  = 300 * time.Millisecond
-	// lastExtension is how long before an owner must stop to extend leases it does so
+	holdPause      = 200 * time.Millisecond
+	persistTimeout = 300 * time.Millisecond
+	// finalExtensionMargin is how long before an owner must stop to extend leases it does so
 	// for the last time.
-	lastExtension = 150 * time.Millisecond
+	finalExtensionMargin = 150 * time.Millisecond
 	// unconfirmedWait is holdWait for an owner that may not extend leases, so that it
 	// does so soon after the store's return.
 	unconfirmedWait = 250 * time.Millisecond
 	// lossyWait and lossySlack take the place of holdWait and holdSlack while answers
 	// are lost: until a call is given up, no end on its worker is heard of.
 	lossyWait  = 250 * time.Millisecond
-	lossySlack = 100 * time.Millisecond
-	// freshFor is how old a report may be for a worker to get new tasks.
-	freshFor = holdWait + holdSlack + holdPause
+	lossyGrace = 100 * time.Millisecond
+	// reportMaxAge is how old a report may be for a worker to get new tasks.
+	reportMaxAge = holdWait + holdGrace + holdPause
 	// clockDrift and clockSlack widen a lease that is counted on another clock.
 	clockDrift = 0.03
 	clockSlack = 200 * time.Millisecond
 )
 
-// follow holds a worker until its life is over or ctx ends. Its first call waits for its turn: at a
+// pollWorker holds a worker until its life is over or ctx ends. Its first call waits for its turn: at a
 // takeover they all come at once, each with a new connection.
-func (s *Scheduler) follow(ctx context.Context, w *worker, turn callTurn) {
-	if s.firstCalls.await(ctx, turn) != nil {
+func (s *Scheduler) pollWorker(ctx context.Context, w *worker, slot callSlot) {
+	if s.firstCalls.acquire(ctx, slot) != nil {
 		return
 	}
-	leave := s.firstCalls.leaveWithin(firstCallTurn)
-	answer := s.hold(ctx, w)
-	leave()
-	for s.holdAnswered(ctx, w, answer) {
-		answer = s.hold(ctx, w)
+	release := s.firstCalls.releaseAfter(firstCallTimeout)
+	result := s.hold(ctx, w)
+	release()
+	for s.handleHoldResult(ctx, w, result) {
+		result = s.hold(ctx, w)
 	}
 }
 
-// holdAnswer is what came of a call that holds a worker, with what order and when it was sent.
-type holdAnswer struct {
+// holdResult is what came of a call that holds a worker, with what order and when it was sent.
+type holdResult struct {
 	report fleet.Report
 	order  fleet.HoldOrder
 	sent   time.Time
@@ -58,29 +58,29 @@
 }
 
 // hold makes one call to a worker.
-func (s *Scheduler) hold(ctx context.Context, w *worker) holdAnswer {
+func (s *Scheduler) hold(ctx context.Context, w *worker) holdResult {
 	order, sent := s.holdOrder(w)
-	callCtx, cancel := context.WithTimeout(ctx, s.holdLimit(w, order))
+	callCtx, cancel := context.WithTimeout(ctx, s.holdTimeout(w, order))
 	defer cancel()
-	report, err := s.client.Hold(callCtx, s.infoOf(w), order)
-	return holdAnswer{report, order, sent, err}
+	report, err := s.client.Hold(callCtx, s.workerInfo(w), order)
+	return holdResult{report, order, sent, err}
 }
 
-// holdAnswered takes in what came of a call, waits until the next is due, and reports whether there
+// handleHoldResult takes in what came of a call, waits until the next is due, and reports whether there
 // is to be one.
-func (s *Scheduler) holdAnswered(ctx context.Context, w *worker, answer holdAnswer) bool {
+func (s *Scheduler) handleHoldResult(ctx context.Context, w *worker, result holdResult) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if answer.err != nil {
-		if s.holdFailed(w, answer.order, answer.err) {
+	if result.err != nil {
+		if s.handleHoldFailure(w, result.order, result.err) {
 			return false
 		}
-		wait.For(ctx, s.pauseAfterFailure(w))
+		wait.For(ctx, s.retryDelay(w))
 		return ctx.Err() == nil
 	}
-	if s.takeReport(w, answer.report, answer.sent) {
-		s.awaitNoted(ctx, w)
+	if s.takeReport(w, result.report, result.sent) {
+		s.awaitPersisted(ctx, w)
 	}
 	return ctx.Err() == nil
 }
@@ -88,29 +88,29 @@
 const (
 	// maxFirstCalls bounds the first calls to workers that have their turn.
 	maxFirstCalls = 32
-	// firstCallTurn is for how long a first call has its turn. A worker that has not answered by
+	// firstCallTimeout is for how long a first call has its turn. A worker that has not answered by
 	// then may be gone, and costs no more than the wait for it: where many are gone, the others
 	// would wait for all of them.
-	firstCallTurn = 25 * time.Millisecond
+	firstCallTimeout = 25 * time.Millisecond
 )
 
-// holdLimit returns how long a call may take. One to a worker that has not answered
+// holdTimeout returns how long a call may take. One to a worker that has not answered
 // ends with its lease, so that what ran there is placed anew at once.
-func (s *Scheduler) holdLimit(w *worker, order fleet.HoldOrder) time.Duration {
+func (s *Scheduler) holdTimeout(w *worker, order fleet.HoldOrder) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	limit := order.Wait + holdSlack
+	limit := order.Wait + holdGrace
 	if s.answers.lossy {
-		limit = order.Wait + max(lossySlack, s.answers.limit())
+		limit = order.Wait + max(lossyGrace, s.answers.limit())
 	}
 	limit += s.patience()
-	if rest := time.Until(w.leaseEnds); w.failing && rest > 0 {
+	if rest := time.Until(w.leaseExpiry); w.failing && rest > 0 {
 		limit = min(limit, rest+time.Millisecond)
 	}
 	return limit
 }
 
-func (s *Scheduler) infoOf(w *worker) fleet.Worker {
+func (s *Scheduler) workerInfo(w *worker) fleet.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return w.info
@@ -131,7 +131,7 @@
 		order.Wait = min(order.Wait, trialWait)
 	}
 	first := w.contact.IsZero()
-	if first || w.failing || len(w.pending) > 0 {
+	if first || w.failing || len(w.pendingEnds) > 0 {
 		order.Wait = 0
 	}
 	rest := confirmedFor - s.term.Unconfirmed()
@@ -141,31 +141,31 @@
 	if w.failing || first || rest < 0 {
 		return order, now
 	}
-	if rest > lastExtension && rest < holdWait {
-		order.Wait = min(order.Wait, rest-lastExtension) // then it is extended once more
+	if rest > finalExtensionMargin && rest < holdWait {
+		order.Wait = min(order.Wait, rest-finalExtensionMargin) // then it is extended once more
 	}
 	order.Deadline = w.clockNow(now) + fleet.Clock(s.lease.Milliseconds())
 	w.extends(now, s.lease)
 	return order, now
 }
 
-// pauseAfterFailure returns how long to wait before the next call to a worker that
+// retryDelay returns how long to wait before the next call to a worker that
 // does not answer; not beyond the end of its lease.
-func (s *Scheduler) pauseAfterFailure(w *worker) time.Duration {
+func (s *Scheduler) retryDelay(w *worker) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.failures++
-	if w.failures == 1 && !w.contact.IsZero() && s.lateness() < lateFrom {
+	w.failedCalls++
+	if w.failedCalls == 1 && !w.contact.IsZero() && s.lateness() < lateThreshold {
 		return 0 // it may be the one call that was lost
 	}
-	if rest := time.Until(w.leaseEnds); rest > 0 {
+	if rest := time.Until(w.leaseExpiry); rest > 0 {
 		return min(holdPause, rest)
 	}
 	return holdPause
 }
 
-// holdFailed notes a failed call and reports whether the life is over.
-func (s *Scheduler) holdFailed(w *worker, order fleet.HoldOrder, err error) bool {
+// handleHoldFailure notes a failed call and reports whether the life is over.
+func (s *Scheduler) handleHoldFailure(w *worker, order fleet.HoldOrder, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var refused *fleet.RefusedError
@@ -177,17 +177,17 @@
 		s.endLife(w, "another life answers at its address")
 		return true
 	}
-	s.outdate(w.info.ID)
+	s.markTokenStale(w.info.ID)
 	if !w.failing {
 		s.noteAnswer(false)
-		w.failing, w.failedAt, w.closed = true, time.Now(), fleet.IsClosed(err)
-		if w.closed {
-			s.noteBreak(w, w.failedAt)
+		w.failing, w.unresponsiveSince, w.connectionClosed = true, time.Now(), fleet.IsClosed(err)
+		if w.connectionClosed {
+			s.recordDisconnect(w, w.unresponsiveSince)
 		}
 		s.log.Warn().Str("worker", w.info.ID).Err(err).Msg("worker does not answer")
 	}
-	if time.Now().After(w.leaseEnds) {
-		s.lapse(w, "lease ran out")
+	if time.Now().After(w.leaseExpiry) {
+		s.expireAttempts(w, "lease ran out")
 		if !w.known {
 			s.endLife(w, "gone and its lease has run out")
 			return true
@@ -196,13 +196,13 @@
 	return false
 }
 
-// lapse ends every attempt on a worker whose lease has run out or whose life is over. The end
+// expireAttempts ends every attempt on a worker whose lease has run out or whose life is over. The end
 // of one member of a gang takes back the others that were only granted, so each is looked at
 // anew. The lock is held.
-func (s *Scheduler) lapse(w *worker, why string) {
-	for _, t := range w.list() {
+func (s *Scheduler) expireAttempts(w *worker, why string) {
+	for _, t := range w.taskList() {
 		if t.worker == w {
-			s.noteLost(t)
+			s.recordLost(t)
 			s.endAttempt(t, fleet.Lapsed, "", why)
 		}
 	}
@@ -214,24 +214,24 @@
 		return
 	}
 	w.over = true
-	s.lapse(w, why)
-	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", names(w.lost)).Bool("leaving", w.leaving).
+	s.expireAttempts(w, why)
+	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", attemptNames(w.lost)).Bool("leaving", w.leaving).
 		Dur("silent", time.Since(w.contact)).Msg("worker is over")
-	s.settleEnded(w)
+	s.countLost(w)
 	if w.cancel != nil {
 		w.cancel()
 	}
-	s.leave(w)
-	if w.known && !s.namedLater(w) {
-		s.past[w.listed] = true
+	s.removeLife(w)
+	if w.known && !s.sharesDiscoveryEntry(w) {
+		s.past[w.discoveredLife] = true
 	}
 	wake(s.dispatchWake)
 }
 
-// awaitNoted waits until the ends that were just taken in are in the store, so
+// awaitPersisted waits until the ends that were just taken in are in the store, so
 // that the next call does not return at once with the same ends.
-func (s *Scheduler) awaitNoted(ctx context.Context, w *worker) {
-	timer := time.NewTimer(noteWait)
+func (s *Scheduler) awaitPersisted(ctx context.Context, w *worker) {
+	timer := time.NewTimer(persistTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -239,10 +239,10 @@
 			return
 		case <-timer.C:
 			return
-		case <-w.noteWake:
+		case <-w.persistedWake:
 		}
 		s.mu.Lock()
-		rest := len(w.pending)
+		rest := len(w.pendingEnds)
 		s.mu.Unlock()
 		if rest == 0 {
 			return
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -70,7 +70,7 @@
 	for id, entry := range latest {
 		s.restoreProgress(id, entry.Progress)
 	}
-	s.adoptBundles(latest, bundles)
+	s.restoreBundles(latest, bundles)
 	s.noteArrivals()
 	s.log.Info().Int("jobs", len(s.jobs)).Int("active", len(s.active)).Int("workers", len(s.workers)).
 		Int("bundles", len(bundles)).Msg("loaded")
@@ -84,9 +84,9 @@
 	return j
 }
 
-// adoptBundles has the jobs whose latest row is in a former owner's bundle keep
+// restoreBundles has the jobs whose latest row is in a former owner's bundle keep
 // all of its bundles until they are written one by one.
-func (s *Scheduler) adoptBundles(latest map[string]bundled, rows []rowstore.Row) {
+func (s *Scheduler) restoreBundles(latest map[string]bundled, rows []rowstore.Row) {
 	for _, row := range rows {
 		b := &bundle{name: row.Name, jobs: map[string]*job{}}
 		for id := range latest {
@@ -115,17 +115,17 @@
 		}
 		return
 	}
-	j.restore(p, s.hostOf)
+	j.restore(p, s.findOrAddWorker)
 	if j.state.Final() {
 		delete(s.active, id)
 	}
 }
 
-// hostOf returns a life of a worker, and makes one that was never seen if discovery has not named
+// findOrAddWorker returns a life of a worker, and makes one that was never seen if discovery has not named
 // it. It is called at the address that the row tells until then: reading the workers of a large
 // deployment takes long, and what has ended on this one is waited for.
-func (s *Scheduler) hostOf(life fleet.Life, address string) *worker {
-	life = s.resolve(life)
+func (s *Scheduler) findOrAddWorker(life fleet.Life, address string) *worker {
+	life = s.resolveLife(life)
 	w := s.workers[life]
 	if w == nil {
 		w = s.enter(fleet.Worker{Life: life})
@@ -140,7 +140,7 @@
 // this owner has never reached. The lock is held.
 func (s *Scheduler) expireUnseen(now time.Time) {
 	for _, w := range s.workers {
-		if w.cancel == nil && !w.known && now.After(w.leaseEnds) {
+		if w.cancel == nil && !w.known && now.After(w.leaseExpiry) {
 			s.endLife(w, "never seen, and its lease has run out")
 		}
 	}
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -14,62 +14,62 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	if w.over {
-		s.takeLastEnds(w, report, sent)
+		s.handleEndsOfEndedLife(w, report, sent)
 		return false
 	}
-	if answering := s.settleLives(w, report, sent); answering != w {
+	if answering := s.resolveAnsweringLife(w, report, sent); answering != w {
 		w = answering
 	}
 	if w.contact.IsZero() {
-		s.firstContact(w, now)
+		s.boundLeaseAtFirstReport(w, now)
 	}
 	if w.failing || w.contact.IsZero() {
 		s.log.Info().Str("worker", w.info.ID).Int64("born", report.Born).Int64("clock", int64(report.Clock)).Int64("clock_before", int64(w.clock)).
-			Uint64("noted", w.noted).Int("running", len(report.Running)).Msg("worker answers")
+			Uint64("noted", w.persistedSequence).Int("running", len(report.Running)).Msg("worker answers")
 	}
 	if !w.failing {
 		s.noteAnswer(true)
 	}
-	w.contact, w.failing, w.failures = now, false, 0
-	s.settleFound(w)
-	w.sawClock(report.Clock, now)
-	s.noteUnread(w, report, now)
+	w.contact, w.failing, w.failedCalls = now, false, 0
+	s.clearLost(w)
+	w.observeClock(report.Clock, now)
+	s.recordUnread(w, report, now)
 	for _, end := range report.Ended {
-		s.takeEnd(w, end)
+		s.handleEnd(w, end)
 	}
-	w.foreign = 0
+	w.foreignAttempts = 0
 	listed := make(map[string]bool, len(report.Running))
 	for _, run := range report.Running {
-		if s.takeRunning(w, run, now) {
+		if s.handleRunning(w, run, now) {
 			listed[run.Task] = true
 		}
 	}
 	for name, t := range w.tasks {
 		if !listed[name] && !w.mayBeUnread(now) {
-			s.missing(t, sent)
+			s.handleMissing(t, sent)
 		}
 	}
 	w.advanceNoted()
-	s.settleTrial(w, now)
+	s.finishTrial(w, now)
 	wake(s.dispatchWake)
-	return len(w.pending) > 0
+	return len(w.pendingEnds) > 0
 }
 
-// unreadPatience is for how long an attempt that a report does not show may be in a row that could
+// unreadGracePeriod is for how long an attempt that a report does not show may be in a row that could
 // not be read. After it the attempt counts as lost, like one whose worker does not answer; its end,
 // if there was one, is not acknowledged.
-const unreadPatience = 3 * time.Second
+const unreadGracePeriod = 3 * time.Second
 
-// noteUnread takes in how much of a report could not be read. The lock is held.
-func (s *Scheduler) noteUnread(w *worker, report fleet.Report, now time.Time) {
+// recordUnread takes in how much of a report could not be read. The lock is held.
+func (s *Scheduler) recordUnread(w *worker, report fleet.Report, now time.Time) {
 	w.unreadFrom = report.UnreadFrom
 	if report.Unread == 0 {
-		w.unreadAt = time.Time{}
+		w.unreadSince = time.Time{}
 		return
 	}
 	s.metrics.rowsUnread.Add(int64(report.Unread))
-	if w.unreadAt.IsZero() {
-		w.unreadAt = now
+	if w.unreadSince.IsZero() {
+		w.unreadSince = now
 		s.log.Warn().Str("worker", w.info.ID).Int("rows", report.Unread).Uint64("from_end", report.UnreadFrom).
 			Msg("rows of a worker's report cannot be read")
 	}
@@ -78,60 +78,60 @@
 // mayBeUnread reports whether an attempt that the last report did not show may be in a row of it
 // that could not be read.
 func (w *worker) mayBeUnread(now time.Time) bool {
-	return !w.unreadAt.IsZero() && now.Sub(w.unreadAt) < unreadPatience
+	return !w.unreadSince.IsZero() && now.Sub(w.unreadSince) < unreadGracePeriod
 }
 
-// noteSequence notes that an end is taken in. Ends that it leaves out could not be read, and are
+// recordEndSequence notes that an end is taken in. Ends that it leaves out could not be read, and are
 // taken in when they can.
-func (w *worker) noteSequence(sequence uint64) {
-	delete(w.gaps, sequence)
-	for missed := w.seen + 1; w.unreadFrom > 0 && missed < sequence && len(w.gaps) < mostGaps; missed++ {
-		if w.gaps == nil {
-			w.gaps = map[uint64]bool{}
+func (w *worker) recordEndSequence(sequence uint64) {
+	delete(w.unreadSequences, sequence)
+	for missed := w.lastEndSequence + 1; w.unreadFrom > 0 && missed < sequence && len(w.unreadSequences) < maxUnreadSequences; missed++ {
+		if w.unreadSequences == nil {
+			w.unreadSequences = map[uint64]bool{}
 		}
-		w.gaps[missed] = true
+		w.unreadSequences[missed] = true
 	}
-	w.seen = max(w.seen, sequence)
+	w.lastEndSequence = max(w.lastEndSequence, sequence)
 }
 
-// mostGaps bounds the ends that are remembered as not read: as many as one report lists.
-const mostGaps = 500
+// maxUnreadSequences bounds the ends that are remembered as not read: as many as one report lists.
+const maxUnreadSequences = 500
 
-// firstContact bounds until when anything can run on a worker without this owner's word. The lock
+// boundLeaseAtFirstReport bounds until when anything can run on a worker without this owner's word. The lock
 // is held.
-func (s *Scheduler) firstContact(w *worker, now time.Time) {
-	if w.again {
+func (s *Scheduler) boundLeaseAtFirstReport(w *worker, now time.Time) {
+	if w.reusedID {
 		// A call meant for the former life, carried out late by this one, may have given a
 		// lease by the former clock, which the worker cuts to its longest.
-		w.leaseEnds = leaseEnd(now, s.longest)
+		w.leaseExpiry = leaseEnd(now, s.longest)
 		return
 	}
-	w.shorten(now, s.lease) // from now on it refuses the former owner
+	w.shortenLeaseBound(now, s.lease) // from now on it refuses the former owner
 }
 
-// takeLastEnds takes in the ends that a life which is over has told of, in an answer that was
+// handleEndsOfEndedLife takes in the ends that a life which is over has told of, in an answer that was
 // overtaken by one of the next life. The lock is held.
-func (s *Scheduler) takeLastEnds(w *worker, report fleet.Report, sent time.Time) {
-	if w.another(report, sent) {
+func (s *Scheduler) handleEndsOfEndedLife(w *worker, report fleet.Report, sent time.Time) {
+	if w.fromOtherLife(report, sent) {
 		return
 	}
 	for _, end := range report.Ended {
-		if end.Sequence <= w.seen {
+		if end.Sequence <= w.lastEndSequence {
 			continue
 		}
-		w.seen = end.Sequence
+		w.lastEndSequence = end.Sequence
 		if id, err := workload.ParseTaskID(end.Task); err == nil {
-			s.takeLateEnd(id, end)
+			s.handleLateEnd(id, end)
 		}
 	}
 }
 
-// takeRunning takes in that a worker runs an attempt, and tells whether it is
+// handleRunning takes in that a worker runs an attempt, and tells whether it is
 // one that the worker should run.
-func (s *Scheduler) takeRunning(w *worker, run fleet.Attempt, now time.Time) bool {
+func (s *Scheduler) handleRunning(w *worker, run fleet.Attempt, now time.Time) bool {
 	t := w.tasks[run.Task]
 	if t == nil || t.attempt != run.Number {
-		w.foreign++
+		w.foreignAttempts++
 		s.stopForeign(w, run)
 		return false
 	}
@@ -142,23 +142,23 @@
 		s.began(t, now)
 	}
 	s.percentSeen = s.percentSeen || run.Percent > 0
-	s.sample(t, run.Percent, now)
+	s.sampleProgress(t, run.Percent, now)
 	switch {
 	case run.Percent > t.percent || t.movedAt.IsZero():
 		t.percent, t.movedAt = run.Percent, now
 	case s.stalled(t, now):
 		s.stop(t, "its progress stands still")
 	}
-	if s.dragging(t, now) {
+	if s.shouldMoveOffSlowWorker(t, now) {
 		t.movedOnce = true
 		s.stop(t, "its worker has turned slow")
 	}
 	return true
 }
 
-// missing judges an attempt that a report did not show, neither as running nor
+// handleMissing judges an attempt that a report did not show, neither as running nor
 // as ended.
-func (s *Scheduler) missing(t *task, sent time.Time) {
+func (s *Scheduler) handleMissing(t *task, sent time.Time) {
 	running := t.state == taskRunning || t.state == taskDone
 	switch {
 	case running && !t.begunAt.IsZero() && t.begunAt.Before(sent):
@@ -170,40 +170,40 @@
 	}
 }
 
-// takeEnd takes in one end that a worker lists.
-func (s *Scheduler) takeEnd(w *worker, end fleet.End) {
-	if end.Sequence <= w.seen && !w.gaps[end.Sequence] {
+// handleEnd takes in one end that a worker lists.
+func (s *Scheduler) handleEnd(w *worker, end fleet.End) {
+	if end.Sequence <= w.lastEndSequence && !w.unreadSequences[end.Sequence] {
 		return
 	}
-	late := end.Sequence <= w.seen
-	w.noteSequence(end.Sequence)
-	note := pendingNote{sequence: end.Sequence}
+	late := end.Sequence <= w.lastEndSequence
+	w.recordEndSequence(end.Sequence)
+	note := pendingEnd{sequence: end.Sequence}
 	if t := w.tasks[end.Task]; t != nil && t.attempt == end.Number {
 		j := t.step.job
 		s.endAttempt(t, end.Outcome, end.Checkpoint, "listed by the worker")
 		note.job, note.generation = j, j.generation
 	} else if id, err := workload.ParseTaskID(end.Task); err == nil {
-		s.takeLateEnd(id, end)
+		s.handleLateEnd(id, end)
 	}
 	if late {
-		w.holdBack(note)
+		w.delayAck(note)
 		return
 	}
-	w.pending = append(w.pending, note)
+	w.pendingEnds = append(w.pendingEnds, note)
 }
 
-// holdBack has the ends from one on be acknowledged only once that one is in the store: later ones
+// delayAck has the ends from one on be acknowledged only once that one is in the store: later ones
 // were taken in before it could be read.
-func (w *worker) holdBack(note pendingNote) {
+func (w *worker) delayAck(note pendingEnd) {
 	from := note.sequence
-	note.sequence = max(note.sequence, w.noted)
-	w.noted = min(w.noted, from-1)
-	w.pending = slices.Insert(w.pending, 0, note)
+	note.sequence = max(note.sequence, w.persistedSequence)
+	w.persistedSequence = min(w.persistedSequence, from-1)
+	w.pendingEnds = slices.Insert(w.pendingEnds, 0, note)
 }
 
-// takeLateEnd takes in the end of an attempt that the owner had given up. A task
+// handleLateEnd takes in the end of an attempt that the owner had given up. A task
 // that is done is done, whoever counted on it.
-func (s *Scheduler) takeLateEnd(id workload.TaskID, end fleet.End) {
+func (s *Scheduler) handleLateEnd(id workload.TaskID, end fleet.End) {
 	j := s.jobs[id.Job]
 	if j == nil || j.state.Final() {
 		return
@@ -216,7 +216,7 @@
 		Msg("end of an attempt that was given up")
 	if end.Outcome == fleet.Done && !t.step.spec.Lasting {
 		s.stop(t, "an earlier attempt is done")
-		s.taskDone(t)
+		s.handleTaskDone(t)
 	} else if end.Checkpoint != "" && t.step.spec.Checkpoints && !t.hosted() {
 		t.checkpoint = end.Checkpoint
 	}
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -13,15 +13,15 @@
 	// trialWait is how long a worker on trial may keep a call open, so that its report
 	// comes soon after the attempts have settled.
 	trialWait = 200 * time.Millisecond
-	// mostTrial bounds for how long a worker takes nothing else for the sake of a trial.
-	mostTrial = 2 * time.Second
+	// maxTrialTime bounds for how long a worker takes nothing else for the sake of a trial.
+	maxTrialTime = 2 * time.Second
 )
 
 // trial keeps a worker for the unsettled attempts of one job.
 type trial struct {
-	step  *step
-	until time.Time
-	begun bool // attempts were granted; until then others that have just begun settle
+	step    *step
+	until   time.Time
+	started bool // attempts were granted; until then others that have just begun settle
 }
 
 // against reports whether a trial keeps a job off the worker.
@@ -34,8 +34,8 @@
 	return w.trial.step == st && now.Before(w.trial.until)
 }
 
-// quiet reports whether no attempt of another job on the worker is unsettled.
-func (w *worker) quiet(j *job, now time.Time) bool {
+// settledExcept reports whether no attempt of another job on the worker is unsettled.
+func (w *worker) settledExcept(j *job, now time.Time) bool {
 	for _, t := range w.tasks {
 		if t.step.job != j && !t.settledBy(now) {
 			return false
@@ -46,11 +46,11 @@
 
 // tryOn has the worker take nothing but a step's job for a while.
 func (w *worker) tryOn(st *step, begun bool, now time.Time) {
-	w.trial = trial{st, now.Add(mostTrial), begun}
+	w.trial = trial{st, now.Add(maxTrialTime), begun}
 }
 
-// unsettled reports whether attempts of the step on trial have not run for long enough.
-func (w *worker) unsettled(now time.Time) bool {
+// trialUnsettled reports whether attempts of the step on trial have not run for long enough.
+func (w *worker) trialUnsettled(now time.Time) bool {
 	for _, t := range w.tasks {
 		if t.step == w.trial.step && !t.settledBy(now) {
 			return true
@@ -59,28 +59,28 @@
 	return false
 }
 
-// settleTrial ends the worker's trial once every attempt of its step there has settled or
+// finishTrial ends the worker's trial once every attempt of its step there has settled or
 // is over, or when it has taken too long. The lock is held.
-func (s *Scheduler) settleTrial(w *worker, now time.Time) {
+func (s *Scheduler) finishTrial(w *worker, now time.Time) {
 	if w.trial.step == nil {
 		return
 	}
-	survived := w.trial.begun && !w.unsettled(now) && !w.failing && !w.over
+	survived := w.trial.started && !w.trialUnsettled(now) && !w.failing && !w.over
 	if !survived && now.Before(w.trial.until) {
 		return
 	}
 	st := w.trial.step
 	if survived {
 		st.passed = true
-		st.clearOn(w)
+		st.clearSuspicionOn(w)
 	}
 	w.trial, w.freed = trial{}, true
 	wake(s.dispatchWake)
 }
 
-// clearOn takes the suspicion from the step's tasks on a worker, and from the step if no
+// clearSuspicionOn takes the suspicion from the step's tasks on a worker, and from the step if no
 // other is left.
-func (st *step) clearOn(w *worker) {
+func (st *step) clearSuspicionOn(w *worker) {
 	st.suspected = false
 	for _, t := range st.tasks {
 		if t.worker == w {
@@ -107,12 +107,12 @@
 		return
 	}
 	if !best.onTrial(st, p.now) {
-		if st.trialUnderWay(p) {
+		if st.trialRunning(p) {
 			return
 		}
 		best.tryOn(st, false, p.now)
 	}
-	if !best.quiet(st.job, p.now) {
+	if !best.settledExcept(st.job, p.now) {
 		return
 	}
 	for _, t := range c.waiting() {
@@ -126,7 +126,7 @@
 // claim keeps the workers that a step under suspicion needs together, and reports whether
 // nothing else has just begun on them.
 func claim(p *pass, c candidate, shares []share) bool {
-	quiet, left := true, len(c.tasks)
+	settled, left := true, len(c.tasks)
 	for _, part := range shares {
 		if left <= 0 {
 			break
@@ -135,19 +135,19 @@
 		if !part.worker.onTrial(c.step, p.now) {
 			part.worker.tryOn(c.step, false, p.now)
 		}
-		quiet = quiet && part.worker.quiet(c.step.job, p.now)
+		settled = settled && part.worker.settledExcept(c.step.job, p.now)
 	}
-	return quiet
+	return settled
 }
 
-// claimBonus is taken off the score of a worker that is kept for a step. It exceeds all
+// trialScoreBonus is taken off the score of a worker that is kept for a step. It exceeds all
 // penalties together, so that the same workers are chosen until they are quiet.
-const claimBonus = 100.0
+const trialScoreBonus = 100.0
 
 // claimed returns by how much a worker's score is lowered for being kept for the step.
 func (st *step) claimed(w *worker, now time.Time) float64 {
 	if st.suspected && w.onTrial(st, now) {
-		return claimBonus
+		return trialScoreBonus
 	}
 	return 0
 }
@@ -164,9 +164,9 @@
 	return w.info.ID < other.info.ID
 }
 
-// trialUnderWay reports whether the step is on trial on some worker, and none has survived
+// trialRunning reports whether the step is on trial on some worker, and none has survived
 // one yet.
-func (st *step) trialUnderWay(p *pass) bool {
+func (st *step) trialRunning(p *pass) bool {
 	if st.passed {
 		return false
 	}
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -16,40 +16,40 @@
 	// known is whether discovery names this life now, and listed how it does. entered is whether
 	// it does so or did until an outage of the store: what a life has and offers is known from its
 	// own entry alone, and an entry that another writer has replaced names no worker.
-	known   bool
-	listed  fleet.Life
-	entered bool
+	known              bool
+	discoveredLife     fleet.Life
+	recentlyDiscovered bool
 	// superseded is whether a later life under the id has been heard of.
 	superseded bool
-	again      bool // another life has had the id before
+	reusedID   bool // another life has had the id before
 	over       bool // this life has ended
 	used       resource.Amount
 	tasks      map[string]*task // by the name of the attempt's task
 	cancel     context.CancelFunc
 
-	contact   time.Time // when the last report came
-	clock     fleet.Clock
-	clockAt   time.Time
-	leaseEnds time.Time     // when everything there has ended, if nothing else is sent
-	failing   bool          // the last call had no answer
-	failures  int           // calls in a row without answer
-	failedAt  time.Time     // when the first of these was given up
-	closed    bool          // that one's connection was closed or refused by the worker's side
-	leaving   bool          // it drains, or went off the list while it answered
-	lost      []lostAttempt // with it, while it is not known whether it has ended
-	trial     trial
-
-	seen uint64          // the last end that was taken in
-	gaps map[uint64]bool // ends before that which could not be read
+	contact           time.Time // when the last report came
+	clock             fleet.Clock
+	clockReadAt       time.Time
+	leaseExpiry       time.Time     // when everything there has ended, if nothing else is sent
+	failing           bool          // the last call had no answer
+	failedCalls       int           // calls in a row without answer
+	unresponsiveSince time.Time     // when the first of these was given up
+	connectionClosed  bool          // that one's connection was closed or refused by the worker's side
+	leaving           bool          // it drains, or went off the list while it answered
+	lost              []lostAttempt // with it, while it is not known whether it has ended
+	trial             trial
+
+	lastEndSequence uint64          // the last end that was taken in
+	unreadSequences map[uint64]bool // ends before that which could not be read
 	// unreadFrom, if not 0, is from which end on the last report could not be read in full, and
 	// unreadAt since when rows of reports could not be read.
-	unreadFrom uint64
-	unreadAt   time.Time
-	noted      uint64 // ends up to here are in the store
-	pending    []pendingNote
-	noteWake   chan struct{}
+	unreadFrom        uint64
+	unreadSince       time.Time
+	persistedSequence uint64 // ends up to here are in the store
+	pendingEnds       []pendingEnd
+	persistedWake     chan struct{}
 
-	foreign int // attempts in the last report that are not this owner's
+	foreignAttempts int // attempts in the last report that are not this owner's
 	// grew is the serial at which the worker last could take more than before.
 	grew         uint64
 	wasUsable    bool
@@ -63,15 +63,15 @@
 	standing     reliability.Standing // as of the last look
 }
 
-// pendingNote is an end that waits for the store.
-type pendingNote struct {
+// pendingEnd is an end that waits for the store.
+type pendingEnd struct {
 	sequence   uint64
 	job        *job
 	generation uint64
 }
 
 func newWorker(info fleet.Worker) *worker {
-	return &worker{info: info, tasks: map[string]*task{}, noteWake: make(chan struct{}, 1)}
+	return &worker{info: info, tasks: map[string]*task{}, persistedWake: make(chan struct{}, 1)}
 }
 
 // free returns what the worker has left.
@@ -121,20 +121,20 @@
 
 // clockNow estimates the worker's clock.
 func (w *worker) clockNow(now time.Time) fleet.Clock {
-	return w.clock + fleet.Clock(now.Sub(w.clockAt).Milliseconds())
+	return w.clock + fleet.Clock(now.Sub(w.clockReadAt).Milliseconds())
 }
 
 // sawClockOf is sawClock for a call that was meant for a life. An attempt may be on a later one
 // by the time of the answer, and that has a clock of its own.
 func (w *worker) sawClockOf(life fleet.Life, clock fleet.Clock, now time.Time) {
 	if w.info.Life == life {
-		w.sawClock(clock, now)
+		w.observeClock(clock, now)
 	}
 }
 
-func (w *worker) sawClock(clock fleet.Clock, now time.Time) {
+func (w *worker) observeClock(clock fleet.Clock, now time.Time) {
 	if clock > 0 {
-		w.clock, w.clockAt = clock, now
+		w.clock, w.clockReadAt = clock, now
 	}
 }
 
@@ -145,60 +145,60 @@
 
 // extends notes that an order may keep what runs there alive for a lease.
 func (w *worker) extends(sent time.Time, lease time.Duration) {
-	if ends := leaseEnd(sent, lease); ends.After(w.leaseEnds) {
-		w.leaseEnds = ends
+	if ends := leaseEnd(sent, lease); ends.After(w.leaseExpiry) {
+		w.leaseExpiry = ends
 	}
 }
 
-// shorten notes that nobody else has given the worker a lease after a time.
-func (w *worker) shorten(last time.Time, lease time.Duration) {
-	if ends := leaseEnd(last, lease); ends.Before(w.leaseEnds) {
-		w.leaseEnds = ends
+// shortenLeaseBound notes that nobody else has given the worker a lease after a time.
+func (w *worker) shortenLeaseBound(last time.Time, lease time.Duration) {
+	if ends := leaseEnd(last, lease); ends.Before(w.leaseExpiry) {
+		w.leaseExpiry = ends
 	}
 }
 
 // usable reports whether the worker may get new tasks. One that is not listed may if
 // trusted says that the list is not complete.
-func (w *worker) usable(now time.Time, trusted bool) bool {
-	return !w.over && !w.superseded && (w.known || trusted && w.entered) && !w.info.Draining && !w.failing && w.foreign == 0 &&
-		now.Sub(w.contact) < freshFor && now.After(w.blockedUntil)
+func (w *worker) usable(now time.Time, listIncomplete bool) bool {
+	return !w.over && !w.superseded && (w.known || listIncomplete && w.recentlyDiscovered) && !w.info.Draining && !w.failing && w.foreignAttempts == 0 &&
+		now.Sub(w.contact) < reportMaxAge && now.After(w.blockedUntil)
 }
 
 // listIncomplete reports whether workers that live may be missing from the list: their
 // entries can lapse while the store is down.
 func (s *Scheduler) listIncomplete(now time.Time) bool {
-	return now.Sub(s.term.RestoredAt()) < relistedWithin
+	return now.Sub(s.term.RestoredAt()) < relistTimeout
 }
 
-// relistedWithin is how soon after an outage of the store the entries that have lapsed
+// relistTimeout is how soon after an outage of the store the entries that have lapsed
 // are back; the users' platform says about two seconds.
-const relistedWithin = 2 * time.Second
+const relistTimeout = 2 * time.Second
 
 // acknowledged returns up to which end the worker may forget what it lists: no end that could not
 // be read yet.
 func (w *worker) acknowledged() uint64 {
 	if w.unreadFrom > 0 {
-		return min(w.noted, w.unreadFrom-1)
+		return min(w.persistedSequence, w.unreadFrom-1)
 	}
-	return w.noted
+	return w.persistedSequence
 }
 
 // advanceNoted moves noted over the ends that are in the store. The lock is held.
 func (w *worker) advanceNoted() {
 	moved := false
-	for len(w.pending) > 0 {
-		first := w.pending[0]
+	for len(w.pendingEnds) > 0 {
+		first := w.pendingEnds[0]
 		if first.job != nil && first.job.saved < first.generation {
 			break
 		}
-		w.noted, w.pending, moved = first.sequence, w.pending[1:], true
+		w.persistedSequence, w.pendingEnds, moved = first.sequence, w.pendingEnds[1:], true
 	}
 	if moved {
-		wake(w.noteWake)
+		wake(w.persistedWake)
 	}
 }
 
-func (w *worker) list() []*task {
+func (w *worker) taskList() []*task {
 	list := make([]*task, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		list = append(list, t)
@@ -215,15 +215,15 @@
 	for _, info := range list {
 		named[info.Life] = true
 		if !s.past[info.Life] {
-			s.setWorker(info)
+			s.updateWorker(info)
 		}
 	}
 	s.watchAll()
 	maps.DeleteFunc(s.past, func(life fleet.Life, _ bool) bool { return !named[life] })
 	for _, w := range s.workers {
-		if w.known && !named[w.listed] {
+		if w.known && !named[w.discoveredLife] {
 			w.known = false
-			w.entered = s.listIncomplete(time.Now()) || !s.term.FailingSince().IsZero()
+			w.recentlyDiscovered = s.listIncomplete(time.Now()) || !s.term.FailingSince().IsZero()
 			w.leaving = w.leaving || !w.failing && !w.superseded
 			s.log.Info().Str("worker", w.info.ID).Int64("born", w.info.Born).Int("attempts", len(w.tasks)).Msg("worker is no longer listed")
 		}
@@ -231,9 +231,9 @@
 	wake(s.dispatchWake)
 }
 
-func (s *Scheduler) setWorker(info fleet.Worker) {
+func (s *Scheduler) updateWorker(info fleet.Worker) {
 	listed := info.Life
-	info.Life = s.resolve(info.Life)
+	info.Life = s.resolveLife(info.Life)
 	w := s.workers[info.Life]
 	if w == nil {
 		w = s.enter(info)
@@ -246,5 +246,5 @@
 	if info.Draining && !w.info.Draining {
 		s.log.Info().Str("worker", info.ID).Dur("remaining", info.Remaining).Msg("worker drains")
 	}
-	w.info, w.known, w.listed, w.entered, w.leaving = info, true, listed, true, info.Draining
+	w.info, w.known, w.discoveredLife, w.recentlyDiscovered, w.leaving = info, true, listed, true, info.Draining
 }
