--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -3,26 +3,25 @@
 import "time"
 
 const (
-	// leastLimit and mostLimit bound how long an order may go without an answer before
-	// it is sent again: a round trip takes 6 ms, and an owner short of processor time
-	// hears of answers late.
+	// leastLimit and mostLimit bound the time after which an unanswered order is sent again. The
+	// minimum allows for an owner that reads answers late because it is short of processor time.
 	leastLimit = 60 * time.Millisecond
 	mostLimit  = 250 * time.Millisecond
-	// meanWeight and deviationWeight are those of the newest answer, and
-	// deviations how many of them are waited for: as in RFC 6298.
+	// The timeout is the mean latency plus deviationFactor times the mean deviation, as in RFC
+	// 6298.
 	meanWeight      = 1.0 / 8
 	deviationWeight = 1.0 / 4
 	deviationFactor = 4
-	// lossWeight is the weight of the newest call in the share of calls without
-	// answer. From lossyFrom on calls are held open for less, and no more from
-	// lossyUntil on; some thousand calls are made in ten seconds.
+	// lossWeight is the weight of the newest call in the moving average of the loss rate. Calls are
+	// lossy from lossyThreshold on until the rate falls below lossyClearThreshold; they then use
+	// shorter long-poll timeouts.
 	lossWeight          = 1.0 / 200
 	lossyThreshold      = 0.01
 	lossyClearThreshold = 0.004
 )
 
-// answers is what an owner concludes of how workers answer: how soon, and how often
-// not at all, those apart that do not answer anything.
+// answers tracks the latency and the loss rate of calls. Only calls to workers that answered the
+// previous one count as lost.
 type answers struct {
 	measured  bool
 	mean      time.Duration
@@ -31,7 +30,7 @@
 	lossy     bool
 }
 
-// took takes in an answer to an order.
+// took adds a latency sample of an order.
 func (a *answers) took(d time.Duration) {
 	if !a.measured {
 		a.measured, a.mean, a.deviation = true, d, d/2
@@ -42,7 +41,7 @@
 	a.mean += time.Duration(meanWeight * float64(d-a.mean))
 }
 
-// limit returns how long an answer to an order is waited for.
+// limit returns the timeout of an order.
 func (a *answers) limit() time.Duration {
 	if !a.measured {
 		return mostLimit
@@ -50,10 +49,10 @@
 	return min(mostLimit, max(leastLimit, a.mean+deviationFactor*a.deviation))
 }
 
-// came takes in whether a call had an answer, at a worker that had answered before. It
-// reports whether that changes how calls are made.
+// came records whether a call was answered by a worker that answered the previous one. It reports
+// whether lossy has changed.
 func (a *answers) came(answered bool) bool {
-	was := a.lossy
+	wasLossy := a.lossy
 	a.loss *= 1 - lossWeight
 	if !answered {
 		a.loss += lossWeight
@@ -64,23 +63,24 @@
 	case a.loss < lossyClearThreshold:
 		a.lossy = false
 	}
-	return was != a.lossy
+	return wasLossy != a.lossy
 }
 
 const (
-	// latenessFactor is by how many times its own lateness an owner waits longer for
-	// answers: each goes through several goroutines.
+	// latenessFactor is the ratio of the extra timeout to the lateness of this process: each answer
+	// passes through several goroutines.
 	latenessFactor = 10
-	// lateThreshold is the lateness from which calls without answer say nothing of workers.
+	// lateThreshold is the lateness of this process from which unanswered calls are not counted as
+	// lost.
 	lateThreshold = 5 * time.Millisecond
 )
 
-// patience returns how much longer an owner that is late itself waits for answers: to
-// give up and ask again would make it later still.
+// patience returns the extra timeout of calls while this process is late. Early retries would add
+// to its load.
 func (s *Scheduler) patience() time.Duration { return latenessFactor * s.lateness() }
 
-// noteAnswer takes in whether a worker that had answered before answered a call. The
-// lock is held.
+// noteAnswer records whether a call was answered by a worker that answered the previous one. The
+// caller must hold s.mu.
 func (s *Scheduler) noteAnswer(answered bool) {
 	if !answered && s.lateness() > lateThreshold {
 		return
--- a/scheduler/callgate.go
+++ b/scheduler/callgate.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// callGate lets some calls through at a time, those that go ahead before the others. After a
-// takeover thousands of workers are called for the first time at once. What has ended on the few
-// that have work is what callers wait for; an idle worker has nothing to tell.
+// callGate limits concurrent calls and admits priority calls first. After a takeover all workers
+// are called at once: callers wait for the results from the few with attempts, while idle workers
+// have nothing to report.
 type callGate struct {
 	mu       sync.Mutex
 	free     int
-	priority []callSlot // calls that wait
-	normal   []callSlot
+	priority []callSlot // waiting calls, admitted first
+	normal   []callSlot // waiting calls, admitted when priority is empty
 }
 
-// callSlot is closed when a call may go.
+// callSlot is closed when a call is admitted.
 type callSlot chan struct{}
 
 func newCallGate(calls int) *callGate { return &callGate{free: calls} }
 
-// enqueue gives a call its place. It is to be awaited.
-func (g *callGate) enqueue(ahead bool) callSlot {
+// enqueue requests a slot, on which the caller must call acquire.
+func (g *callGate) enqueue(priority bool) callSlot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	slot := make(callSlot)
@@ -31,7 +31,7 @@
 	case g.free > 0:
 		g.free--
 		close(slot)
-	case ahead:
+	case priority:
 		g.priority = append(g.priority, slot)
 	default:
 		g.normal = append(g.normal, slot)
@@ -39,7 +39,8 @@
 	return slot
 }
 
-// acquire waits until a call may go; it then must leave. If ctx ends first, its place is given up.
+// acquire waits until the call is admitted; the caller must then release its slot. If ctx ends
+// first, the request is cancelled.
 func (g *callGate) acquire(ctx context.Context, slot callSlot) error {
 	select {
 	case <-slot:
@@ -50,7 +51,7 @@
 	}
 }
 
-// cancel gives up a turn that was waited for, and passes it on if it has come meanwhile.
+// cancel withdraws a request, and releases its slot if the call was admitted in the meantime.
 func (g *callGate) cancel(slot callSlot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -62,8 +63,7 @@
 	}
 }
 
-// releaseAfter lets the next call go after a time, or as soon as the function that it returns is
-// called.
+// releaseAfter releases a slot after the given time, or when the returned function is called.
 func (g *callGate) releaseAfter(limit time.Duration) func() {
 	release := sync.OnceFunc(func() {
 		g.mu.Lock()
@@ -77,16 +77,17 @@
 	}
 }
 
-// grantNext gives a place to the next call. The lock is held.
+// grantNext admits the next waiting call, or frees the slot if there is none. The caller must hold
+// g.mu.
 func (g *callGate) grantNext() {
-	queue := &g.priority
-	if len(*queue) == 0 {
-		queue = &g.normal
+	waiting := &g.priority
+	if len(*waiting) == 0 {
+		waiting = &g.normal
 	}
-	if len(*queue) == 0 {
+	if len(*waiting) == 0 {
 		g.free++
 		return
 	}
-	close((*queue)[0])
-	*queue = (*queue)[1:]
+	close((*waiting)[0])
+	*waiting = (*waiting)[1:]
 }
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// holdWait is how long a worker may keep a call open until an end comes.
+	// holdWait is the long-poll timeout: how long a worker may wait for an end before it answers.
 	holdWait = time.Second
-	// holdGrace is how much longer the answer is waited for.
+	// holdGrace is added to the long-poll timeout to get the timeout of the call.
 	holdGrace = 400 * time.Millisecond
-	// holdPause follows a call that failed, noteWait one whose ends are not yet
-	// in the store.
+	// holdPause is the delay after a failed call, and persistTimeout the longest delay after a call
+	// that reported ends, to have them stored.
 	holdPause      = 200 * time.Millisecond
 	persistTimeout = 300 * time.Millisecond
-	// finalExtensionMargin is how long before an owner must stop to extend leases it does so
+	// finalExtensionMargin is how long before an owner must stop extending leases it extends them
 	// for the last time.
 	finalExtensionMargin = 150 * time.Millisecond
-	// unconfirmedWait is holdWait for an owner that may not extend leases, so that it
-	// does so soon after the store's return.
+	// unconfirmedWait replaces holdWait while the owner may not extend leases, so that it resumes
+	// soon after the store recovers.
 	unconfirmedWait = 250 * time.Millisecond
-	// lossyWait and lossySlack take the place of holdWait and holdSlack while answers
-	// are lost: until a call is given up, no end on its worker is heard of.
+	// lossyWait and lossyGrace replace holdWait and holdGrace while calls are lost: a lost call
+	// hides the ends on its worker until it times out.
 	lossyWait  = 250 * time.Millisecond
 	lossyGrace = 100 * time.Millisecond
-	// reportMaxAge is how old a report may be for a worker to get new tasks.
+	// reportMaxAge is the maximum age of the last report of a worker that gets new tasks.
 	reportMaxAge = holdWait + holdGrace + holdPause
-	// clockDrift and clockSlack widen a lease that is counted on another clock.
+	// clockDrift and clockSlack extend a lease that is measured by another clock.
 	clockDrift = 0.03
 	clockSlack = 200 * time.Millisecond
 )
 
-// pollWorker holds a worker until its life is over or ctx ends. Its first call waits for its turn: at a
-// takeover they all come at once, each with a new connection.
+// pollWorker polls a worker until its life ends or ctx is cancelled. The first call waits for a
+// slot, because a takeover opens new connections to all workers at once.
 func (s *Scheduler) pollWorker(ctx context.Context, w *worker, slot callSlot) {
 	if s.firstCalls.acquire(ctx, slot) != nil {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// holdResult is what came of a call that holds a worker, with what order and when it was sent.
+// holdResult is the result of a hold call.
 type holdResult struct {
 	report fleet.Report
 	order  fleet.HoldOrder
@@ -57,7 +57,7 @@
 	err    error
 }
 
-// hold makes one call to a worker.
+// hold makes one hold call, which long-polls a worker for its report and extends its lease.
 func (s *Scheduler) hold(ctx context.Context, w *worker) holdResult {
 	order, sent := s.holdOrder(w)
 	callCtx, cancel := context.WithTimeout(ctx, s.holdTimeout(w, order))
@@ -66,8 +66,8 @@
 	return holdResult{report, order, sent, err}
 }
 
-// handleHoldResult takes in what came of a call, waits until the next is due, and reports whether there
-// is to be one.
+// handleHoldResult processes the result of a call and waits until the next one is due. It returns
+// false if there is none.
 func (s *Scheduler) handleHoldResult(ctx context.Context, w *worker, result holdResult) bool {
 	if ctx.Err() != nil {
 		return false
@@ -86,28 +86,27 @@
 }
 
 const (
-	// maxFirstCalls bounds the first calls to workers that have their turn.
+	// maxFirstCalls limits the number of first calls that hold a slot at the same time.
 	maxFirstCalls = 32
-	// firstCallTimeout is for how long a first call has its turn. A worker that has not answered by
-	// then may be gone, and costs no more than the wait for it: where many are gone, the others
-	// would wait for all of them.
+	// firstCallTimeout is how long a first call holds its slot. An unreachable worker delays the
+	// others by no more than that; its call continues without a slot.
 	firstCallTimeout = 25 * time.Millisecond
 )
 
-// holdTimeout returns how long a call may take. One to a worker that has not answered
-// ends with its lease, so that what ran there is placed anew at once.
+// holdTimeout returns the timeout of a call. A call to an unresponsive worker ends with its lease,
+// so that its tasks are placed again at once.
 func (s *Scheduler) holdTimeout(w *worker, order fleet.HoldOrder) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	limit := order.Wait + holdGrace
+	timeout := order.Wait + holdGrace
 	if s.answers.lossy {
-		limit = order.Wait + max(lossyGrace, s.answers.limit())
+		timeout = order.Wait + max(lossyGrace, s.answers.limit())
 	}
-	limit += s.patience()
-	if rest := time.Until(w.leaseExpiry); w.failing && rest > 0 {
-		limit = min(limit, rest+time.Millisecond)
+	timeout += s.patience()
+	if remaining := time.Until(w.leaseExpiry); w.failing && remaining > 0 {
+		timeout = min(timeout, remaining+time.Millisecond)
 	}
-	return limit
+	return timeout
 }
 
 func (s *Scheduler) workerInfo(w *worker) fleet.Worker {
@@ -116,9 +115,9 @@
 	return w.info
 }
 
-// holdOrder says what to ask of a worker next. Nothing is extended while the
-// store has not confirmed the term for a while, nor after a call without answer:
-// then the time by which everything there has ended stays certain.
+// holdOrder returns the next order for a worker and the time at which it is sent. An order does not
+// extend the lease while the store has not confirmed the term recently, nor after an unanswered
+// call, so that the known lease expiry remains an upper bound.
 func (s *Scheduler) holdOrder(w *worker) (fleet.HoldOrder, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,37 +133,37 @@
 	if first || w.failing || len(w.pendingEnds) > 0 {
 		order.Wait = 0
 	}
-	rest := confirmedFor - s.term.Unconfirmed()
-	if rest < 0 {
+	remaining := confirmedFor - s.term.Unconfirmed()
+	if remaining < 0 {
 		order.Wait = min(order.Wait, unconfirmedWait)
 	}
-	if w.failing || first || rest < 0 {
+	if w.failing || first || remaining < 0 {
 		return order, now
 	}
-	if rest > finalExtensionMargin && rest < holdWait {
-		order.Wait = min(order.Wait, rest-finalExtensionMargin) // then it is extended once more
+	if remaining > finalExtensionMargin && remaining < holdWait {
+		order.Wait = min(order.Wait, remaining-finalExtensionMargin) // returns in time for a final extension
 	}
 	order.Deadline = w.clockNow(now) + fleet.Clock(s.lease.Milliseconds())
 	w.extends(now, s.lease)
 	return order, now
 }
 
-// retryDelay returns how long to wait before the next call to a worker that
-// does not answer; not beyond the end of its lease.
+// retryDelay counts a failed call and returns the delay before the next one, which is at most the
+// remaining lease.
 func (s *Scheduler) retryDelay(w *worker) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.failedCalls++
 	if w.failedCalls == 1 && !w.contact.IsZero() && s.lateness() < lateThreshold {
-		return 0 // it may be the one call that was lost
+		return 0 // a single call may have been lost
 	}
-	if rest := time.Until(w.leaseExpiry); rest > 0 {
-		return min(holdPause, rest)
+	if remaining := time.Until(w.leaseExpiry); remaining > 0 {
+		return min(holdPause, remaining)
 	}
 	return holdPause
 }
 
-// handleHoldFailure notes a failed call and reports whether the life is over.
+// handleHoldFailure processes a failed call and reports whether the worker's life has ended.
 func (s *Scheduler) handleHoldFailure(w *worker, order fleet.HoldOrder, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,18 +186,18 @@
 		s.log.Warn().Str("worker", w.info.ID).Err(err).Msg("worker does not answer")
 	}
 	if time.Now().After(w.leaseExpiry) {
-		s.expireAttempts(w, "lease ran out")
+		s.expireAttempts(w, "lease expired")
 		if !w.known {
-			s.endLife(w, "gone and its lease has run out")
+			s.endLife(w, "removed from discovery, and its lease has expired")
 			return true
 		}
 	}
 	return false
 }
 
-// expireAttempts ends every attempt on a worker whose lease has run out or whose life is over. The end
-// of one member of a gang takes back the others that were only granted, so each is looked at
-// anew. The lock is held.
+// expireAttempts ends every attempt on a worker whose lease has expired or whose life has ended.
+// Ending a gang member cancels other granted members, so each attempt is checked again. The caller
+// must hold s.mu.
 func (s *Scheduler) expireAttempts(w *worker, why string) {
 	for _, t := range w.taskList() {
 		if t.worker == w {
@@ -208,7 +207,7 @@
 	}
 }
 
-// endLife forgets a worker and everything on it. The lock is held.
+// endLife ends all attempts on a worker and removes it. The caller must hold s.mu.
 func (s *Scheduler) endLife(w *worker, why string) {
 	if w.over {
 		return
@@ -216,7 +215,7 @@
 	w.over = true
 	s.expireAttempts(w, why)
 	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", attemptNames(w.lost)).Bool("leaving", w.leaving).
-		Dur("silent", time.Since(w.contact)).Msg("worker is over")
+		Dur("silent", time.Since(w.contact)).Msg("worker life ended")
 	s.countLost(w)
 	if w.cancel != nil {
 		w.cancel()
@@ -228,8 +227,8 @@
 	wake(s.dispatchWake)
 }
 
-// awaitPersisted waits until the ends that were just taken in are in the store, so
-// that the next call does not return at once with the same ends.
+// awaitPersisted waits up to persistTimeout until the processed ends are stored. A call before that
+// would return the same ends at once.
 func (s *Scheduler) awaitPersisted(ctx context.Context, w *worker) {
 	timer := time.NewTimer(persistTimeout)
 	defer timer.Stop()
@@ -242,9 +241,9 @@
 		case <-w.persistedWake:
 		}
 		s.mu.Lock()
-		rest := len(w.pendingEnds)
+		remaining := len(w.pendingEnds)
 		s.mu.Unlock()
-		if rest == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
--- a/scheduler/lives.go
+++ b/scheduler/lives.go
@@ -8,23 +8,22 @@
 	"chutereach/fleet"
 )
 
-// Lives of workers that share an id: a worker may start again under the id that it had. What is
-// known of a worker is known of one life, and ends with it: marks of ends, its clock and lease,
-// what runs there, tickets, health and blame. Only the answer of a worker tells which life it is;
-// the entry that discovery has may be of an earlier life or of a later one.
+// A worker process can restart under the same id. The state of a worker belongs to one life of its
+// process: acknowledged ends, clock, lease, attempts, tickets, health and crash records. Only a
+// worker's answer tells which life it is; its discovery entry may be of an earlier or a later one.
 
-// identity is what is known of the lives under one id.
+// identity tracks the lives that share one worker id.
 type identity struct {
-	lives []*worker // that are not known to be over, in the order in which they were heard of
-	// token is the fencing token of calls. It is raised above staleToken, the highest of calls that
-	// a former life may not have answered: once a life has been called with a higher one, those
-	// do nothing there when they are carried out late. They would forget its ends unread, begin
-	// tasks again or give it leases by another clock.
+	lives []*worker // not known to have ended, oldest first
+	// token is the fencing token of calls to the id. staleToken is the highest token of calls that
+	// an earlier life may have left unanswered. Once a life has been called with a higher token, it
+	// rejects those calls if they arrive late; they could discard unprocessed ends, start tasks
+	// twice or set leases by another clock.
 	token, staleToken uint64
-	endedAt           time.Time // of the last life that is over
+	endedAt           time.Time // when the last life ended
 }
 
-// newest returns the life that was heard of last, or nil.
+// newest returns the life that was discovered last, or nil.
 func (id *identity) newest() *worker {
 	if len(id.lives) == 0 {
 		return nil
@@ -32,11 +31,12 @@
 	return id.lives[len(id.lives)-1]
 }
 
-// identityRetention is for how long it is remembered that an id was in use: calls without answer are
-// carried out within seconds, or never.
+// identityRetention is how long an unused id is remembered. Unanswered calls are executed within
+// seconds or never.
 const identityRetention = time.Minute
 
-// forgetIdentities drops what is known of ids that are long out of use. The lock is held.
+// forgetIdentities drops ids that have been unused for identityRetention. The caller must hold
+// s.mu.
 func (s *Scheduler) forgetIdentities(now time.Time) {
 	for name, id := range s.identities {
 		if len(id.lives) == 0 && now.Sub(id.endedAt) > identityRetention {
@@ -45,9 +45,9 @@
 	}
 }
 
-// tokenOf returns the fencing token for calls to whichever life has an id. It is the version of
-// the owner's row at some transaction: any that came after the calls to former lives is above
-// theirs, and below those of a successor. The lock is held.
+// tokenOf returns the fencing token for calls to a worker id. It is a version of the owner's row: a
+// version later than the calls to earlier lives is above their tokens and below those of a
+// successor. The caller must hold s.mu.
 func (s *Scheduler) tokenOf(name string) uint64 {
 	id := s.identities[name]
 	if id == nil {
@@ -59,7 +59,7 @@
 	return id.token
 }
 
-// enter takes a life in that was not known. The lock is held.
+// enter adds a new life of a worker. The caller must hold s.mu.
 func (s *Scheduler) enter(info fleet.Worker) *worker {
 	w := newWorker(info)
 	w.leaseExpiry = s.formerLeasesEnd
@@ -79,7 +79,7 @@
 	return w
 }
 
-// removeLife drops a life that is over. The lock is held.
+// removeLife removes a life that has ended. The caller must hold s.mu.
 func (s *Scheduler) removeLife(w *worker) {
 	if s.workers[w.info.Life] == w {
 		delete(s.workers, w.info.Life)
@@ -92,17 +92,17 @@
 	}
 }
 
-// markTokenStale has later calls to whichever life has an id bear a higher token than those until now:
-// a call has failed, and the next one may reach another life. The lock is held.
+// markTokenStale requires a higher token for later calls to an id, because a call has failed and
+// the next one may reach another life. The caller must hold s.mu.
 func (s *Scheduler) markTokenStale(name string) {
 	if id := s.identities[name]; id != nil {
 		id.staleToken = id.token
 	}
 }
 
-// resolveLife returns the life that an entry or a row speaks of. One that does not say when the life
-// began speaks of the newest that is known, and one that does may tell what a worker's answers
-// do not. The lock is held.
+// resolveLife returns the known life to which a discovery entry or a stored row refers. One without
+// a start time refers to the newest life. One with a start time completes a newest life that lacks
+// it. The caller must hold s.mu.
 func (s *Scheduler) resolveLife(life fleet.Life) fleet.Life {
 	id := s.identities[life.ID]
 	if id == nil || id.newest() == nil || s.workers[life] != nil {
@@ -118,15 +118,15 @@
 	return life
 }
 
-// setLife notes when a life began of which that was not known. The lock is held.
+// setLife sets the start time of a life that was known without one. The caller must hold s.mu.
 func (s *Scheduler) setLife(w *worker, life fleet.Life) {
 	delete(s.workers, w.info.Life)
 	w.info.Life = life
 	s.workers[life] = w
 }
 
-// watchAll has all workers called that are listed, or whose address a former owner's rows tell,
-// those that have work first. The lock is held.
+// watchAll starts to poll all workers that are listed or have a stored address, those with attempts
+// first. The caller must hold s.mu.
 func (s *Scheduler) watchAll() {
 	for _, busy := range []bool{true, false} {
 		for _, w := range s.workers {
@@ -137,7 +137,7 @@
 	}
 }
 
-// startPolling has a worker called until its life is over. The lock is held.
+// startPolling polls a worker until its life ends. The caller must hold s.mu.
 func (s *Scheduler) startPolling(w *worker) {
 	if w.cancel != nil || s.ctx == nil {
 		return
@@ -148,9 +148,9 @@
 	s.running.Go(func() { s.pollWorker(ctx, w, slot) })
 }
 
-// fromOtherLife reports whether the report that answers a call is of fromOtherLife life than the worker's.
-// Where one of them does not say when it began, only a clock that has gone back tells: one that
-// was asked for after the reading at hand came and that is lower.
+// fromOtherLife reports whether the answer to a call sent at the given time is from another life of
+// the worker. If a start time is missing, only a decreasing clock shows that: a lower reading that
+// was requested after the last one arrived.
 func (w *worker) fromOtherLife(report fleet.Report, sent time.Time) bool {
 	if report.Born != 0 && w.info.Known() {
 		return report.Born != w.info.Born
@@ -158,8 +158,8 @@
 	return report.Clock > 0 && report.Clock < w.clock && sent.After(w.clockReadAt)
 }
 
-// resolveAnsweringLife takes in which life a report is of, and returns that. The others under the id are
-// over. The lock is held.
+// resolveAnsweringLife returns the life that a report is from and ends all others with the same id.
+// The caller must hold s.mu.
 func (s *Scheduler) resolveAnsweringLife(w *worker, report fleet.Report, sent time.Time) *worker {
 	life := fleet.Life{ID: w.info.ID, Born: report.Born}
 	answering := w
@@ -185,7 +185,8 @@
 	return answering
 }
 
-// findOrAddSuccessor returns the life that has answered in place of a former one.
+// findOrAddSuccessor returns the life that answered in place of an earlier one, adding it if it is
+// new.
 func (s *Scheduler) findOrAddSuccessor(former *worker, life fleet.Life) *worker {
 	if known := s.workers[life]; known != nil && known != former {
 		return known
@@ -193,60 +194,60 @@
 	info := former.info
 	info.Life, info.Draining = life, false
 	next := s.enter(info)
-	if !former.discoveredLife.Known() { // its entry is that of whichever life there is
+	if !former.discoveredLife.Known() { // an entry without a start time describes the current life
 		next.discoveredLife, next.known, next.recentlyDiscovered = former.discoveredLife, former.known, former.recentlyDiscovered
 	}
 	return next
 }
 
-// replaceLife ends a life in favour of the one that has answered. What the report shows moves there,
-// for a start meant for the former life was carried out by this one. All else has ended with the
-// life, and is placed anew at once: starts that had no answer bear a token that is too low by now.
-// The lock is held.
+// replaceLife ends an earlier life after the next one has answered. Attempts in the report move to
+// the next life, which executed starts sent to the earlier one. All others have ended and are
+// placed again at once, as the tokens of their unanswered starts are now too low. The caller must
+// hold s.mu.
 func (s *Scheduler) replaceLife(former, next *worker, report fleet.Report) {
 	s.metrics.startedAgain.Add(1)
 	s.log.Warn().Str("worker", former.info.ID).Int64("born", next.info.Born).Int64("born_before", former.info.Born).
 		Uint64("seen", former.lastEndSequence).Uint64("noted", former.persistedSequence).Int("attempts", len(former.tasks)).
 		Int("running", len(report.Running)).Int("ended", len(report.Ended)).Msg("worker has started again")
-	shown := reportedAttempts(report)
+	reported := reportedAttempts(report)
 	for _, t := range former.taskList() {
-		if t.worker == former && shown[attemptKey{t.id().String(), t.attempt}] {
+		if t.worker == former && reported[attemptKey{t.id().String(), t.attempt}] {
 			s.moveAttempt(next, t)
 		}
 	}
-	s.endLife(former, "it has started again")
+	s.endLife(former, "worker restarted")
 }
 
-// sharesDiscoveryEntry reports whether discovery's entry for a life that is over speaks of a later one too,
-// since it does not say when that began. The lock is held.
+// sharesDiscoveryEntry reports whether the discovery entry of an ended life, having no start time,
+// also describes a later life. The caller must hold s.mu.
 func (s *Scheduler) sharesDiscoveryEntry(w *worker) bool {
 	newest := s.identities[w.info.ID].newest()
 	return newest != nil && newest.discoveredLife == w.discoveredLife
 }
 
-// attemptKey names an attempt in a report.
+// attemptKey identifies an attempt in a report.
 type attemptKey struct {
 	task   string
 	number int
 }
 
-// reportedAttempts returns the attempts that a report shows, as running or as ended.
+// reportedAttempts returns the running and the ended attempts of a report.
 func reportedAttempts(report fleet.Report) map[attemptKey]bool {
-	shown := make(map[attemptKey]bool, len(report.Running)+len(report.Ended))
+	attempts := make(map[attemptKey]bool, len(report.Running)+len(report.Ended))
 	for _, run := range report.Running {
-		shown[attemptKey{run.Task, run.Number}] = true
+		attempts[attemptKey{run.Task, run.Number}] = true
 	}
 	for _, end := range report.Ended {
-		shown[attemptKey{end.Task, end.Number}] = true
+		attempts[attemptKey{end.Task, end.Number}] = true
 	}
-	return shown
+	return attempts
 }
 
-// moveAttempt moves a task's attempt to another life of its worker. The lock is held.
+// moveAttempt moves a task's attempt to another life of its worker. The caller must hold s.mu.
 func (s *Scheduler) moveAttempt(next *worker, t *task) {
 	state := t.state
 	if state == taskRunning {
-		state = taskStarting // until the report at hand has it begin
+		state = taskStarting // the report being processed sets it to running
 	}
 	t.worker.release(t)
 	next.host(t, state)
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -10,60 +10,61 @@
 	"chutereach/resource"
 )
 
-// worker is one life of a worker, as the owner knows it.
+// worker is the owner's state for one life of a worker process.
 type worker struct {
 	info fleet.Worker
-	// known is whether discovery names this life now, and listed how it does. entered is whether
-	// it does so or did until an outage of the store: what a life has and offers is known from its
-	// own entry alone, and an entry that another writer has replaced names no worker.
+	// known is whether the discovery list contains this life, and discoveredLife how its entry
+	// names it. recentlyDiscovered is also true if the entry may have been lost in an outage of the
+	// store. The capacity of a life is known only from its own entry.
 	known              bool
 	discoveredLife     fleet.Life
 	recentlyDiscovered bool
-	// superseded is whether a later life under the id has been heard of.
+	// superseded is whether a later life with the same id is known.
 	superseded bool
-	reusedID   bool // another life has had the id before
+	reusedID   bool // an earlier life had the same id
 	over       bool // this life has ended
 	used       resource.Amount
-	tasks      map[string]*task // by the name of the attempt's task
+	tasks      map[string]*task // by task id
 	cancel     context.CancelFunc
 
-	contact           time.Time // when the last report came
+	contact           time.Time // time of the last report
 	clock             fleet.Clock
 	clockReadAt       time.Time
-	leaseExpiry       time.Time     // when everything there has ended, if nothing else is sent
-	failing           bool          // the last call had no answer
-	failedCalls       int           // calls in a row without answer
-	unresponsiveSince time.Time     // when the first of these was given up
-	connectionClosed  bool          // that one's connection was closed or refused by the worker's side
-	leaving           bool          // it drains, or went off the list while it answered
-	lost              []lostAttempt // with it, while it is not known whether it has ended
+	leaseExpiry       time.Time     // latest time at which an attempt here can run, unless a lease is extended
+	failing           bool          // the last call was not answered
+	failedCalls       int           // consecutive unanswered calls
+	unresponsiveSince time.Time     // when the first of them failed
+	connectionClosed  bool          // the first of them failed because the worker closed or refused the connection
+	leaving           bool          // draining, or removed from discovery while it still answered
+	lost              []lostAttempt // until it is known whether the worker has ended
 	trial             trial
 
-	lastEndSequence uint64          // the last end that was taken in
-	unreadSequences map[uint64]bool // ends before that which could not be read
-	// unreadFrom, if not 0, is from which end on the last report could not be read in full, and
-	// unreadAt since when rows of reports could not be read.
+	lastEndSequence uint64          // highest end sequence processed
+	unreadSequences map[uint64]bool // lower sequences whose ends could not be decoded
+	// unreadFrom, if not 0, is the sequence from which ends may be missing in the last report
+	// because a row could not be decoded. unreadSince is when such rows were first reported.
 	unreadFrom        uint64
 	unreadSince       time.Time
-	persistedSequence uint64 // ends up to here are in the store
+	persistedSequence uint64 // ends up to this sequence are stored
 	pendingEnds       []pendingEnd
 	persistedWake     chan struct{}
 
-	foreignAttempts int // attempts in the last report that are not this owner's
-	// grew is the serial at which the worker last could take more than before.
+	foreignAttempts int // attempts in the last report that this owner did not grant
+	// grew is the serial of the last placement pass in which the worker could take more than
+	// before.
 	grew         uint64
 	wasUsable    bool
-	usableIn     uint64 // serial of the last look for which it was usable
-	freed        bool   // since the last look
+	usableIn     uint64 // serial of the last placement pass in which it was usable
+	freed        bool   // since the last placement pass
 	blockedUntil time.Time
 	reserved     reservation
-	yields       []*task // that may give way, as of the look yieldsIn
+	yields       []*task // attempts that may be preempted, as of the pass with serial yieldsIn
 	yieldsIn     uint64
 	health       health
-	standing     reliability.Standing // as of the last look
+	standing     reliability.Standing // as of the last placement pass
 }
 
-// pendingEnd is an end that waits for the store.
+// pendingEnd is a processed end that is not yet stored.
 type pendingEnd struct {
 	sequence   uint64
 	job        *job
@@ -74,14 +75,14 @@
 	return &worker{info: info, tasks: map[string]*task{}, persistedWake: make(chan struct{}, 1)}
 }
 
-// free returns what the worker has left.
+// free returns the capacity that is not granted.
 func (w *worker) free() resource.Amount { return w.info.Capacity.Minus(w.used) }
 
-// overfull reports whether more was granted than the worker has. It can shrink while it
-// runs; what runs there stays, and nothing more begins until it fits.
+// overfull reports whether more is granted than the worker's capacity, which can shrink at run
+// time. Running attempts continue, and no others start until they fit.
 func (w *worker) overfull() bool { return !w.used.Fits(w.info.Capacity) }
 
-// host gives a task room on the worker.
+// host reserves room on the worker for a new attempt of the task.
 func (w *worker) host(t *task, state taskState) {
 	t.worker, t.state = w, state
 	t.begunAt, t.stoppedAt, t.movedAt, t.percent = time.Time{}, time.Time{}, time.Time{}, 0
@@ -94,7 +95,7 @@
 	t.step.job.account.host(t)
 }
 
-// release takes the task's room back; the attempt is over or never began.
+// release frees the room of an attempt that has ended or was never started.
 func (w *worker) release(t *task) {
 	w.used = w.used.Minus(t.step.need())
 	delete(w.tasks, t.id().String())
@@ -109,8 +110,8 @@
 	w.freed = true
 }
 
-// need is what a task of the step takes of a worker's room. Steps that fill
-// take no processors from the others.
+// need returns the resources that a task of the step reserves on a worker. Filler steps reserve no
+// CPU.
 func (st *step) need() resource.Amount {
 	need := st.spec.Need
 	if st.spec.Fills {
@@ -119,13 +120,13 @@
 	return need
 }
 
-// clockNow estimates the worker's clock.
+// clockNow extrapolates the worker's clock from its last reading.
 func (w *worker) clockNow(now time.Time) fleet.Clock {
 	return w.clock + fleet.Clock(now.Sub(w.clockReadAt).Milliseconds())
 }
 
-// sawClockOf is sawClock for a call that was meant for a life. An attempt may be on a later one
-// by the time of the answer, and that has a clock of its own.
+// sawClockOf records a clock reading if it is from the worker's own life. An attempt may have moved
+// to a later life, with another clock, before its call is answered.
 func (w *worker) sawClockOf(life fleet.Life, clock fleet.Clock, now time.Time) {
 	if w.info.Life == life {
 		w.observeClock(clock, now)
@@ -138,44 +139,45 @@
 	}
 }
 
-// leaseEnd returns when a lease has run out on any worker's clock.
+// leaseEnd returns the local time by which a lease has expired on the clock of any worker.
 func leaseEnd(given time.Time, lease time.Duration) time.Time {
 	return given.Add(lease + time.Duration(float64(lease)*clockDrift) + clockSlack)
 }
 
-// extends notes that an order may keep what runs there alive for a lease.
+// extends raises the bound on the lease expiry for an order that may extend the lease.
 func (w *worker) extends(sent time.Time, lease time.Duration) {
 	if ends := leaseEnd(sent, lease); ends.After(w.leaseExpiry) {
 		w.leaseExpiry = ends
 	}
 }
 
-// shortenLeaseBound notes that nobody else has given the worker a lease after a time.
+// shortenLeaseBound lowers the bound on the lease expiry, given that no other owner has granted a
+// lease after the time last.
 func (w *worker) shortenLeaseBound(last time.Time, lease time.Duration) {
 	if ends := leaseEnd(last, lease); ends.Before(w.leaseExpiry) {
 		w.leaseExpiry = ends
 	}
 }
 
-// usable reports whether the worker may get new tasks. One that is not listed may if
-// trusted says that the list is not complete.
+// usable reports whether the worker may get new tasks. A worker that discovery does not list may if
+// listIncomplete is set.
 func (w *worker) usable(now time.Time, listIncomplete bool) bool {
 	return !w.over && !w.superseded && (w.known || listIncomplete && w.recentlyDiscovered) && !w.info.Draining && !w.failing && w.foreignAttempts == 0 &&
 		now.Sub(w.contact) < reportMaxAge && now.After(w.blockedUntil)
 }
 
-// listIncomplete reports whether workers that live may be missing from the list: their
-// entries can lapse while the store is down.
+// listIncomplete reports whether live workers may be missing from the discovery list because their
+// entries expired during an outage of the store.
 func (s *Scheduler) listIncomplete(now time.Time) bool {
 	return now.Sub(s.term.RestoredAt()) < relistTimeout
 }
 
-// relistTimeout is how soon after an outage of the store the entries that have lapsed
-// are back; the users' platform says about two seconds.
+// relistTimeout is the time in which workers register again after an outage of the store. The
+// platform specifies about two seconds.
 const relistTimeout = 2 * time.Second
 
-// acknowledged returns up to which end the worker may forget what it lists: no end that could not
-// be read yet.
+// acknowledged returns the sequence up to which the worker may discard ends. Ends that could not be
+// decoded are excluded.
 func (w *worker) acknowledged() uint64 {
 	if w.unreadFrom > 0 {
 		return min(w.persistedSequence, w.unreadFrom-1)
@@ -183,17 +185,18 @@
 	return w.persistedSequence
 }
 
-// advanceNoted moves noted over the ends that are in the store. The lock is held.
+// advanceNoted advances persistedSequence over the pending ends whose jobs are stored. The caller
+// must hold Scheduler.mu.
 func (w *worker) advanceNoted() {
-	moved := false
+	advanced := false
 	for len(w.pendingEnds) > 0 {
 		first := w.pendingEnds[0]
 		if first.job != nil && first.job.saved < first.generation {
 			break
 		}
-		w.persistedSequence, w.pendingEnds, moved = first.sequence, w.pendingEnds[1:], true
+		w.persistedSequence, w.pendingEnds, advanced = first.sequence, w.pendingEnds[1:], true
 	}
-	if moved {
+	if advanced {
 		wake(w.persistedWake)
 	}
 }
@@ -206,22 +209,22 @@
 	return list
 }
 
-// SetWorkers tells which workers discovery names. A worker that is named no
-// more keeps what it runs until it does not answer and its lease has run out.
+// SetWorkers replaces the list of discovered workers. A worker that is no longer listed keeps its
+// attempts until it stops answering and its lease has expired.
 func (s *Scheduler) SetWorkers(list []fleet.Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	named := make(map[fleet.Life]bool, len(list))
+	listed := make(map[fleet.Life]bool, len(list))
 	for _, info := range list {
-		named[info.Life] = true
+		listed[info.Life] = true
 		if !s.past[info.Life] {
 			s.updateWorker(info)
 		}
 	}
 	s.watchAll()
-	maps.DeleteFunc(s.past, func(life fleet.Life, _ bool) bool { return !named[life] })
+	maps.DeleteFunc(s.past, func(life fleet.Life, _ bool) bool { return !listed[life] })
 	for _, w := range s.workers {
-		if w.known && !named[w.discoveredLife] {
+		if w.known && !listed[w.discoveredLife] {
 			w.known = false
 			w.recentlyDiscovered = s.listIncomplete(time.Now()) || !s.term.FailingSince().IsZero()
 			w.leaving = w.leaving || !w.failing && !w.superseded
@@ -232,7 +235,7 @@
 }
 
 func (s *Scheduler) updateWorker(info fleet.Worker) {
-	listed := info.Life
+	entryLife := info.Life
 	info.Life = s.resolveLife(info.Life)
 	w := s.workers[info.Life]
 	if w == nil {
@@ -241,10 +244,10 @@
 	if info.Capacity != w.info.Capacity && w.known {
 		s.log.Info().Str("worker", info.ID).Stringer("was", w.info.Capacity).Stringer("is", info.Capacity).
 			Stringer("used", w.used).Msg("worker is resized")
-		w.freed = true // steps that found no room look again
+		w.freed = true // retry steps that found no room
 	}
 	if info.Draining && !w.info.Draining {
 		s.log.Info().Str("worker", info.ID).Dur("remaining", info.Remaining).Msg("worker drains")
 	}
-	w.info, w.known, w.discoveredLife, w.recentlyDiscovered, w.leaving = info, true, listed, true, info.Draining
+	w.info, w.known, w.discoveredLife, w.recentlyDiscovered, w.leaving = info, true, entryLife, true, info.Draining
 }
