--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -7,11 +7,12 @@
 	"chutereach/workload"
 )
 
-// failureBackoff holds a task back after a failure, so that a broken worker does
-// not burn its attempts in an instant.
+// failureBackoff delays the next attempt after a failure, so that a faulty worker does not use up a
+// task's attempts at once.
 const failureBackoff = 50 * time.Millisecond
 
-// endAttempt takes in that a task's attempt is over. The lock is held.
+// endAttempt records the end of a task's attempt and decides what follows. The caller must hold
+// s.mu.
 func (s *Scheduler) endAttempt(t *task, outcome fleet.Outcome, checkpoint, why string) {
 	w, st := t.worker, t.step
 	j := st.job
@@ -26,7 +27,7 @@
 	case !t.told:
 		t.crashes = t.crashes.WithSpareAttempt()
 	case outcome != fleet.Lapsed && !t.begunAt.IsZero():
-		t.crashes = t.crashes.WithSettled() // its worker has outlived it
+		t.crashes = t.crashes.WithSettled() // the worker survived the attempt
 	}
 	s.finishTrial(w, time.Now())
 	t.ticket, t.recovered = "", false
@@ -65,8 +66,8 @@
 		Dur("ran", t.runTime()).Int("failures", t.failures).Msg("attempt over")
 }
 
-// runTime returns for how long the attempt at hand is known to have run: from when its worker
-// confirmed it until the last answer of the worker.
+// runTime returns the confirmed run time of the current attempt: from the worker's confirmation of
+// the start until its last report.
 func (t *task) runTime() time.Duration {
 	if t.begunAt.IsZero() {
 		return 0
@@ -74,7 +75,7 @@
 	return max(0, t.worker.contact.Sub(t.begunAt))
 }
 
-// handleTaskDone takes in that a task is done; a gang is done with its first member.
+// handleTaskDone marks a task as done. A gang is done once its first member is.
 func (s *Scheduler) handleTaskDone(t *task) {
 	st := t.step
 	if st.spec.Gang {
@@ -90,7 +91,8 @@
 	}
 }
 
-// handleTaskFailure counts a failure, and gives the job up after the last one.
+// handleTaskFailure counts a failure of a task, and fails the job when the task has no attempts
+// left.
 func (s *Scheduler) handleTaskFailure(t *task) {
 	st := t.step
 	t.failures++
@@ -105,10 +107,9 @@
 	}
 }
 
-// breakGang recalls the other members of a gang's attempt at once. Without a member the gang
-// never comes together, and it can take 4.8 s until it is certain that one in doubt is over
-// (startWithin and a lease of 3 s): the others would wait, with their room taken, until their
-// workers end them.
+// breakGang stops the other members of a gang's attempt. The gang cannot run without all members,
+// and replacing a member in doubt can take startWithin plus a lease; until then the others would
+// occupy their room for nothing.
 func (s *Scheduler) breakGang(st *step, attempt int, why string) {
 	for _, member := range st.tasks {
 		if member.attempt != attempt {
@@ -123,7 +124,7 @@
 	}
 }
 
-// finish makes a job final and recalls what still runs of it.
+// finish makes a job final and stops its remaining attempts.
 func (s *Scheduler) finish(j *job, state workload.State, why string) {
 	if j.state.Final() {
 		return
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -12,7 +12,7 @@
 	"chutereach/workload"
 )
 
-// Load reads what a former owner left. It must end well before Run.
+// Load reads the state that former owners have stored. It must succeed before Run is called.
 func (s *Scheduler) Load(ctx context.Context) error {
 	var records, progress, bundles rowstore.Page
 	group, groupCtx := errgroup.WithContext(ctx)
@@ -45,7 +45,7 @@
 	for _, row := range records {
 		record, err := workload.DecodeRecord(row.Name, row.Value)
 		if err != nil {
-			s.log.Error().Str("job", row.Name).Err(err).Msg("job cannot be read and waits")
+			s.log.Error().Str("job", row.Name).Err(err).Msg("cannot decode job record; skipping job")
 			continue
 		}
 		s.restoreRecord(row.Name, record, now).inserted = true
@@ -58,7 +58,7 @@
 	for _, row := range progress {
 		p, err := workload.DecodeProgress(row.Name, row.Value)
 		if err != nil {
-			s.log.Error().Str("job", row.Name).Err(err).Msg("progress cannot be read")
+			s.log.Error().Str("job", row.Name).Err(err).Msg("cannot decode job progress; skipping row")
 			continue
 		}
 		if entry, ok := latest[row.Name]; ok && entry.Progress.Generation > p.Generation {
@@ -73,7 +73,7 @@
 	s.restoreBundles(latest, bundles)
 	s.noteArrivals()
 	s.log.Info().Int("jobs", len(s.jobs)).Int("active", len(s.active)).Int("workers", len(s.workers)).
-		Int("bundles", len(bundles)).Msg("loaded")
+		Int("bundles", len(bundles)).Msg("scheduler state loaded")
 	return nil
 }
 
@@ -84,8 +84,8 @@
 	return j
 }
 
-// restoreBundles has the jobs whose latest row is in a former owner's bundle keep
-// all of its bundles until they are written one by one.
+// restoreBundles keeps the former owner's bundles until each job whose latest row is in one of them
+// has been written to a row of its own.
 func (s *Scheduler) restoreBundles(latest map[string]bundled, rows []rowstore.Row) {
 	for _, row := range rows {
 		b := &bundle{name: row.Name, jobs: map[string]*job{}}
@@ -121,9 +121,9 @@
 	}
 }
 
-// findOrAddWorker returns a life of a worker, and makes one that was never seen if discovery has not named
-// it. It is called at the address that the row tells until then: reading the workers of a large
-// deployment takes long, and what has ended on this one is waited for.
+// findOrAddWorker returns a life of a worker, adding it if discovery has not listed it yet. Until
+// then the worker is called at its stored address: reading the workers of a large deployment takes
+// long, and clients wait for the results on this one.
 func (s *Scheduler) findOrAddWorker(life fleet.Life, address string) *worker {
 	life = s.resolveLife(life)
 	w := s.workers[life]
@@ -136,12 +136,12 @@
 	return w
 }
 
-// expireUnseen ends what ran on workers that discovery no longer names and that
-// this owner has never reached. The lock is held.
+// expireUnseen ends the attempts on workers that discovery does not list and that this owner has
+// never reached, once their leases have expired. The caller must hold s.mu.
 func (s *Scheduler) expireUnseen(now time.Time) {
 	for _, w := range s.workers {
 		if w.cancel == nil && !w.known && now.After(w.leaseExpiry) {
-			s.endLife(w, "never seen, and its lease has run out")
+			s.endLife(w, "never reached, and its lease has expired")
 		}
 	}
 }
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -8,7 +8,7 @@
 	"chutereach/workload"
 )
 
-// takeReport takes a worker's report in, and tells whether it held ends.
+// takeReport processes a worker's report and reports whether any ends are not yet stored.
 func (s *Scheduler) takeReport(w *worker, report fleet.Report, sent time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,12 +55,11 @@
 	return len(w.pendingEnds) > 0
 }
 
-// unreadGracePeriod is for how long an attempt that a report does not show may be in a row that could
-// not be read. After it the attempt counts as lost, like one whose worker does not answer; its end,
-// if there was one, is not acknowledged.
+// unreadGracePeriod is how long a missing attempt is assumed to be in a row that could not be
+// decoded. After that the attempt counts as lost, and its end, if any, is not acknowledged.
 const unreadGracePeriod = 3 * time.Second
 
-// recordUnread takes in how much of a report could not be read. The lock is held.
+// recordUnread records which part of a report could not be decoded. The caller must hold s.mu.
 func (s *Scheduler) recordUnread(w *worker, report fleet.Report, now time.Time) {
 	w.unreadFrom = report.UnreadFrom
 	if report.Unread == 0 {
@@ -75,14 +74,14 @@
 	}
 }
 
-// mayBeUnread reports whether an attempt that the last report did not show may be in a row of it
-// that could not be read.
+// mayBeUnread reports whether an attempt missing from the last report may be in a row that could
+// not be decoded.
 func (w *worker) mayBeUnread(now time.Time) bool {
 	return !w.unreadSince.IsZero() && now.Sub(w.unreadSince) < unreadGracePeriod
 }
 
-// recordEndSequence notes that an end is taken in. Ends that it leaves out could not be read, and are
-// taken in when they can.
+// recordEndSequence marks an end as processed. Skipped sequences are those of ends that could not
+// be decoded; these are processed once they can be.
 func (w *worker) recordEndSequence(sequence uint64) {
 	delete(w.unreadSequences, sequence)
 	for missed := w.lastEndSequence + 1; w.unreadFrom > 0 && missed < sequence && len(w.unreadSequences) < maxUnreadSequences; missed++ {
@@ -94,23 +93,24 @@
 	w.lastEndSequence = max(w.lastEndSequence, sequence)
 }
 
-// maxUnreadSequences bounds the ends that are remembered as not read: as many as one report lists.
+// maxUnreadSequences limits the skipped sequences that are stored for a worker to the number of
+// ends in one report.
 const maxUnreadSequences = 500
 
-// boundLeaseAtFirstReport bounds until when anything can run on a worker without this owner's word. The lock
-// is held.
+// boundLeaseAtFirstReport limits the time for which anything not granted by this owner can run on a
+// worker. The caller must hold s.mu.
 func (s *Scheduler) boundLeaseAtFirstReport(w *worker, now time.Time) {
 	if w.reusedID {
-		// A call meant for the former life, carried out late by this one, may have given a
-		// lease by the former clock, which the worker cuts to its longest.
+		// A call sent to the former life but executed by this one may have granted a
+		// lease by the former clock. The worker limits it to its longest lease.
 		w.leaseExpiry = leaseEnd(now, s.longest)
 		return
 	}
-	w.shortenLeaseBound(now, s.lease) // from now on it refuses the former owner
+	w.shortenLeaseBound(now, s.lease) // the worker now rejects calls from the former owner
 }
 
-// handleEndsOfEndedLife takes in the ends that a life which is over has told of, in an answer that was
-// overtaken by one of the next life. The lock is held.
+// handleEndsOfEndedLife processes ends in a report of an ended life that arrived after one of the
+// next life. The caller must hold s.mu.
 func (s *Scheduler) handleEndsOfEndedLife(w *worker, report fleet.Report, sent time.Time) {
 	if w.fromOtherLife(report, sent) {
 		return
@@ -126,8 +126,8 @@
 	}
 }
 
-// handleRunning takes in that a worker runs an attempt, and tells whether it is
-// one that the worker should run.
+// handleRunning processes a running attempt in a report and reports whether it is the task's
+// current attempt there.
 func (s *Scheduler) handleRunning(w *worker, run fleet.Attempt, now time.Time) bool {
 	t := w.tasks[run.Task]
 	if t == nil || t.attempt != run.Number {
@@ -147,17 +147,16 @@
 	case run.Percent > t.percent || t.movedAt.IsZero():
 		t.percent, t.movedAt = run.Percent, now
 	case s.stalled(t, now):
-		s.stop(t, "its progress stands still")
+		s.stop(t, "no progress within its stall timeout")
 	}
 	if s.shouldMoveOffSlowWorker(t, now) {
 		t.movedOnce = true
-		s.stop(t, "its worker has turned slow")
+		s.stop(t, "its worker is slow")
 	}
 	return true
 }
 
-// handleMissing judges an attempt that a report did not show, neither as running nor
-// as ended.
+// handleMissing processes an attempt that a report lists neither as running nor as ended.
 func (s *Scheduler) handleMissing(t *task, sent time.Time) {
 	running := t.state == taskRunning || t.state == taskDone
 	switch {
@@ -170,39 +169,39 @@
 	}
 }
 
-// handleEnd takes in one end that a worker lists.
+// handleEnd processes an end in a report.
 func (s *Scheduler) handleEnd(w *worker, end fleet.End) {
 	if end.Sequence <= w.lastEndSequence && !w.unreadSequences[end.Sequence] {
 		return
 	}
 	late := end.Sequence <= w.lastEndSequence
 	w.recordEndSequence(end.Sequence)
-	note := pendingEnd{sequence: end.Sequence}
+	pending := pendingEnd{sequence: end.Sequence}
 	if t := w.tasks[end.Task]; t != nil && t.attempt == end.Number {
 		j := t.step.job
 		s.endAttempt(t, end.Outcome, end.Checkpoint, "listed by the worker")
-		note.job, note.generation = j, j.generation
+		pending.job, pending.generation = j, j.generation
 	} else if id, err := workload.ParseTaskID(end.Task); err == nil {
 		s.handleLateEnd(id, end)
 	}
 	if late {
-		w.delayAck(note)
+		w.delayAck(pending)
 		return
 	}
-	w.pendingEnds = append(w.pendingEnds, note)
+	w.pendingEnds = append(w.pendingEnds, pending)
 }
 
-// delayAck has the ends from one on be acknowledged only once that one is in the store: later ones
-// were taken in before it could be read.
-func (w *worker) delayAck(note pendingEnd) {
-	from := note.sequence
-	note.sequence = max(note.sequence, w.persistedSequence)
+// delayAck withholds the acknowledgement of an end that was decoded late, and of all later ones,
+// until it is stored.
+func (w *worker) delayAck(pending pendingEnd) {
+	from := pending.sequence
+	pending.sequence = max(pending.sequence, w.persistedSequence)
 	w.persistedSequence = min(w.persistedSequence, from-1)
-	w.pendingEnds = slices.Insert(w.pendingEnds, 0, note)
+	w.pendingEnds = slices.Insert(w.pendingEnds, 0, pending)
 }
 
-// handleLateEnd takes in the end of an attempt that the owner had given up. A task
-// that is done is done, whoever counted on it.
+// handleLateEnd processes the end of an attempt that the owner had given up. A task that such an
+// attempt completed is done.
 func (s *Scheduler) handleLateEnd(id workload.TaskID, end fleet.End) {
 	j := s.jobs[id.Job]
 	if j == nil || j.state.Final() {
