--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -7,43 +7,41 @@
 	"chutereach/workload"
 )
 
-// Workers that end under tasks: a worker that has ended reports nothing of what ran there, so
-// the owner counts the workers that have ended under each task (workload.Crashes). At first
-// only the loss is known: the worker does not answer, and its lease has run out. Later the
-// same life answers again, or another one answers at its address, or discovery no longer
-// names it; only the last two count. A task with too many is given up with its job.
+// Detection of tasks that crash their workers. A worker that has ended reports nothing about its
+// attempts, so the owner counts the workers that ended while a task ran there (workload.Crashes). A
+// lost worker is first only known not to have answered until its lease expired. Later either the
+// same life answers again, or another life answers at its address, or discovery no longer lists it;
+// only the last two count as an end. The job of a task with too many is failed.
 
 const (
 	// settleTime is how long an attempt must have run for the end of its worker not to be
-	// blamed on it. Tasks that crash their workers were seen to do so within 10 ms. The
-	// longer it is, the more often unrelated ends give a sound job up: in randomized runs
-	// 4 of 20,893 jobs with 250 ms.
+	// attributed to it. Higher values fail more healthy jobs because of unrelated ends.
 	settleTime = 250 * time.Millisecond
-	// crashResetTime is how long an attempt must have run for the workers that ended before
-	// to be forgotten: a task that lasts for months loses many workers without causing it.
+	// crashResetTime is how long an attempt must have run for the task's crash record to be
+	// cleared: a task that runs for months loses workers without causing it.
 	crashResetTime = time.Minute
-	// correlationWindow is how close together several workers must end for a common cause to be
-	// likely, such as a rack without power, and togetherMost is how many others may end at
-	// that moment for a task to be blamed all the same: two such tasks may start together.
+	// Several workers that end within correlationWindow probably have a common cause, such as a
+	// rack that lost power. With up to maxCorrelatedEnds others a task is still blamed, because two
+	// crashing tasks may start at the same time.
 	correlationWindow = 150 * time.Millisecond
 	maxCorrelatedEnds = 1
-	// disconnectRetention is for how long a broken connection is remembered: the longest lease.
+	// disconnectRetention is how long a disconnect is kept: as long as the longest lease.
 	disconnectRetention = 20 * time.Second
-	// listedAliveDelay is after how long without answer a worker that discovery still names
-	// counts as alive and out of this owner's reach: entries go after three heartbeats of
-	// silence, 4.5 s with the platform's 1.5 s.
+	// listedAliveDelay is how long a worker must be unresponsive but still listed to count as alive
+	// and unreachable. Entries expire after three missed heartbeats, 4.5 s with the platform's
+	// interval of 1.5 s.
 	listedAliveDelay = 6 * time.Second
 )
 
-// breakage is a moment at which the connection to a worker broke.
+// breakage records that the connection to a worker broke.
 type breakage struct {
 	at      time.Time
 	worker  *worker
 	jobs    []*job // with attempts there that had not settled
-	onTrial bool   // a trial was under way there, which explains the end
+	onTrial bool   // a trial was running there, which explains the end
 }
 
-// recordDisconnect remembers that a worker's side has closed its connection. The lock is held.
+// recordDisconnect records that a worker closed its connection. The caller must hold s.mu.
 func (s *Scheduler) recordDisconnect(w *worker, now time.Time) {
 	s.breaks = slices.DeleteFunc(s.breaks, func(b breakage) bool { return now.Sub(b.at) > disconnectRetention })
 	var jobs []*job
@@ -55,13 +53,13 @@
 	s.breaks = append(s.breaks, breakage{now, w, jobs, w.trial.started && w.trialUnsettled(now)})
 }
 
-// settledBy reports whether the attempt at hand had run long enough at a time.
+// settledBy reports whether the current attempt had run for settleTime at the given time.
 func (t *task) settledBy(at time.Time) bool {
 	return !t.begunAt.IsZero() && at.Sub(t.begunAt) >= settleTime
 }
 
-// endedAlone reports whether hardly any other worker ended when w did, those aside on which
-// the job had begun attempts too or on which a trial was under way.
+// endedAlone reports whether at most maxCorrelatedEnds other workers ended at the same time as w.
+// Workers on trial and those with unsettled attempts of the same job are not counted.
 func (s *Scheduler) endedAlone(w *worker, j *job) bool {
 	others := 0
 	for _, b := range s.breaks {
@@ -73,8 +71,8 @@
 	return others <= maxCorrelatedEnds
 }
 
-// recordLost notes that the attempt at hand is lost with its worker. It is called before the
-// attempt ends. The lock is held.
+// recordLost records that the current attempt was lost with its worker. It must be called before
+// the attempt ends. The caller must hold s.mu.
 func (s *Scheduler) recordLost(t *task) {
 	w := t.worker
 	if !t.told || w.leaving {
@@ -92,7 +90,7 @@
 	w.lost = append(w.lost, lostAttempt{t, t.attempt})
 }
 
-// markSuspected puts a step under suspicion.
+// markSuspected marks a step whose tasks may crash their workers.
 func (s *Scheduler) markSuspected(st *step) {
 	if !st.suspected {
 		s.metrics.suspected.Add(1)
@@ -100,7 +98,7 @@
 	st.suspected, st.passed = true, false
 }
 
-// crashEvidence judges the attempt at hand, which is lost with its worker.
+// crashEvidence returns the evidence that the current attempt, which is lost, crashed its worker.
 func (s *Scheduler) crashEvidence(t *task) workload.Evidence {
 	w := t.worker
 	lastAlive := w.contact
@@ -108,9 +106,9 @@
 		lastAlive = w.unresponsiveSince
 	}
 	switch {
-	case t.recovered: // when the worker ended is not known to an owner that never reached it
+	case t.recovered: // this owner never reached the worker and cannot tell when it ended
 		return workload.Unclear
-	case t.begunAt.IsZero() && !t.cutShort: // it may never have reached the worker
+	case t.begunAt.IsZero() && !t.cutShort: // the start may not have reached the worker
 		return workload.Unclear
 	case t.settledBy(lastAlive):
 		return workload.RanOn
@@ -120,13 +118,13 @@
 	return workload.Unclear
 }
 
-// lostAttempt is an attempt that was lost with a worker.
+// lostAttempt is an attempt that was lost with its worker.
 type lostAttempt struct {
 	task   *task
 	number int
 }
 
-// attemptNames returns lost attempts as TASK#ATTEMPT.
+// attemptNames formats lost attempts as TASK#ATTEMPT.
 func attemptNames(lost []lostAttempt) []string {
 	list := make([]string, 0, len(lost))
 	for _, l := range lost {
@@ -135,7 +133,8 @@
 	return list
 }
 
-// clearLost clears what was lost with a worker that answers again. The lock is held.
+// clearLost removes the lost attempts of a worker that answers again from their tasks' crash
+// records. The caller must hold s.mu.
 func (s *Scheduler) clearLost(w *worker) {
 	for _, lost := range w.lost {
 		if j := lost.task.step.job; !j.state.Final() {
@@ -146,8 +145,8 @@
 	w.lost = nil
 }
 
-// countLost counts what was lost with a worker that has ended, and gives up the jobs of
-// tasks with too many. The lock is held.
+// countLost counts an ended worker in the crash records of the tasks lost with it, and fails the
+// jobs of those with too many. The caller must hold s.mu.
 func (s *Scheduler) countLost(w *worker) {
 	for _, lost := range w.lost {
 		t := lost.task
@@ -168,8 +167,8 @@
 	w.lost = nil
 }
 
-// failIfCrashing gives up the job of a task under which too many workers have ended. The
-// lock is held.
+// failIfCrashing fails the job of a task under which too many workers have ended. The caller must
+// hold s.mu.
 func (s *Scheduler) failIfCrashing(t *task) {
 	if t.state == taskDone || !t.crashes.GivenUp(t.attempt) {
 		return
@@ -178,10 +177,11 @@
 	s.finish(t.step.job, workload.Failed, "workers have ended under its task "+t.id().String())
 }
 
-// settleListed takes workers that discovery has gone on naming for alive. The lock is held.
+// settleListed treats unresponsive workers as alive if discovery has continued to list them. The
+// caller must hold s.mu.
 func (s *Scheduler) settleListed(now time.Time) {
 	if since := s.term.FailingSince(); !since.IsZero() || now.Sub(s.term.RestoredAt()) < listedAliveDelay {
-		return // the list may be old
+		return // the list may be outdated
 	}
 	for _, w := range s.workers {
 		if len(w.lost) > 0 && w.failing && w.known && now.Sub(w.unresponsiveSince) > listedAliveDelay {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -8,31 +8,29 @@
 )
 
 const (
-	// speedWeight is the weight of the newest sample in the mean.
+	// speedWeight is the weight of the newest sample in a worker's mean speed.
 	speedWeight = 0.3
-	// minSampleInterval is the least time over which progress is measured, fastest the
-	// most that a sample counts for, and recoverTime how soon a worker without
-	// samples counts as sound again.
+	// minSampleInterval is the minimum time between two samples of a task's progress,
+	// maxSampleSpeed the upper limit of a sample, and slownessDecay the time after which a worker
+	// without new samples no longer counts as slow.
 	minSampleInterval = 150 * time.Millisecond
 	maxSampleSpeed    = 3.0
 	slownessDecay     = 4 * time.Second
-	// minStallTimeout is how long a task's progress may stand still, at the least,
-	// and stalledShare the same as a share of its estimate.
+	// A task's stall timeout is stallTimeoutFraction of its estimate, but at least minStallTimeout.
 	minStallTimeout      = 1500 * time.Millisecond
 	stallTimeoutFraction = 0.15
 )
 
-// health is what an owner concludes of a worker from how attempts go there. It
-// tells workers that fail, hang or turn slow from sound ones; none is ever given
-// up.
+// health tracks the failures and the speed of attempts on a worker. Workers that fail, stall or are
+// slow get less work, but are never excluded for good.
 type health struct {
 	reliability reliability.Record
-	speed       float64 // mean speed of tasks against their estimates; 0: not known
+	speed       float64 // mean speed of tasks relative to their estimates; 0 if unknown
 	sampledAt   time.Time
 }
 
-// recordOutcome takes in how an attempt has ended on its worker. A task that has failed on
-// another worker before fails by its own doing, most likely, and did so there too.
+// recordOutcome updates the worker's reliability with the outcome of an attempt. A task that also
+// fails on a second worker is itself the likely cause: its failures then count against neither.
 func (s *Scheduler) recordOutcome(t *task, outcome fleet.Outcome, now time.Time) {
 	h := &t.worker.health
 	switch {
@@ -47,39 +45,39 @@
 	}
 }
 
-// logIfQuarantined writes a line for a worker that is put into quarantine.
+// logIfQuarantined logs and counts a worker whose failure leaves it quarantined.
 func (s *Scheduler) logIfQuarantined(w *worker, now time.Time) {
 	if w.health.reliability.Standing(now) != reliability.Quarantined {
 		return
 	}
 	s.metrics.quarantined.Add(1)
 	s.log.Info().Str("worker", w.info.ID).Float64("share", w.health.reliability.Share(now)).Int("attempts", len(w.tasks)).
-		Msg("worker fails and gets nothing for a while")
+		Msg("worker quarantined after failures")
 }
 
-// maxAvoidedFraction is the share of a service's workers that may be spared. Where more seem to fail
-// it is not for them to be told from sound ones, and all are used.
+// maxAvoidedFraction is the largest fraction of a service's workers that may be avoided. If more
+// seem to fail, failures do not tell them from healthy ones, and all are used.
 const maxAvoidedFraction = 0.25
 
-// relies reports whether work may go to a worker, by how attempts have ended there of late.
+// relies reports whether the worker's reliability permits placing a task on it.
 func (p *pass) relies(w *worker, precious bool) bool {
 	if w.standing == reliability.Sound || p.sparing[w.info.Service].tooManyAvoided() {
-		return true // most are sound: a look asks this of each worker for each step
+		return true // fast path: checked for each worker and step
 	}
 	return w.standing.Takes(reliability.Work{Precious: precious, Beside: len(w.tasks)})
 }
 
-// sparing counts the usable workers of a service, and those of them that are spared.
+// sparing counts the usable workers of a service and those that are avoided.
 type sparing struct{ all, spared int }
 
 func (s sparing) tooManyAvoided() bool { return float64(s.spared) > maxAvoidedFraction*float64(s.all) }
 
-// last reports whether the task's next failure ends its job.
+// last reports whether another failure of the task fails its job.
 func (t *task) last() bool {
 	return !t.step.spec.Lasting && t.failures+1 >= t.step.job.record.Queue.Attempts
 }
 
-// addSpeed takes in how fast a task went since the last sample.
+// addSpeed adds a speed sample to the mean.
 func (h *health) addSpeed(speed float64, now time.Time) {
 	speed = min(maxSampleSpeed, speed)
 	if h.speed == 0 && h.sampledAt.IsZero() {
@@ -90,8 +88,8 @@
 	h.sampledAt = now
 }
 
-// slowness is 0 for a worker that is as fast as the fleet, and 1 for one on which
-// nothing moves.
+// slowness returns 0 for a worker at least as fast as the fleet's mean, and up to 1 for one without
+// progress. It decays with the age of the last sample.
 func (h *health) slowness(fleetSpeed float64, now time.Time) float64 {
 	if h.sampledAt.IsZero() || fleetSpeed == 0 {
 		return 0
@@ -101,7 +99,7 @@
 	return slow * (1 - decay)
 }
 
-// sampleProgress measures a task's progress, as a worker reports it.
+// sampleProgress derives a speed sample from the progress that a worker reports for a task.
 func (s *Scheduler) sampleProgress(t *task, percent int, now time.Time) {
 	if t.sampledAt.IsZero() {
 		t.sampledAt, t.sampled = now, percent
@@ -118,24 +116,24 @@
 	t.sampledAt, t.sampled = now, percent
 }
 
-// fleetSpeedWeight is the weight of the newest sample in the mean speed of the fleet.
+// fleetSpeedWeight is the weight of the newest sample in the fleet's mean speed.
 const fleetSpeedWeight = 0.01
 
-// stalled reports whether a task's progress stands still.
+// stalled reports whether a task has made no progress within its stall timeout.
 func (s *Scheduler) stalled(t *task, now time.Time) bool {
 	if !s.percentSeen || t.state != taskRunning || t.step.spec.Lasting || t.step.spec.Estimate == 0 {
 		return false
 	}
 	urgent := t.step.job.record.Queue.Priority == 0
 	if t.step.spec.Gang && (!urgent || t.worker.health.slowness(s.fleetSpeed, now) < slowThreshold) {
-		return false // another member may hold it up, and much work would be lost
+		return false // another member may be the cause, and a restart loses the work of all
 	}
 	timeout := max(minStallTimeout, time.Duration(stallTimeoutFraction*float64(t.step.spec.Estimate)))
 	return now.Sub(t.movedAt) > timeout && now.Sub(t.begunAt) > timeout
 }
 
-// shouldMoveOffSlowWorker reports whether an urgent task has hardly begun on a worker that has
-// turned slow, so that it ends sooner elsewhere.
+// shouldMoveOffSlowWorker reports whether an urgent task has made little progress on a slow worker
+// and is to be restarted elsewhere.
 func (s *Scheduler) shouldMoveOffSlowWorker(t *task, now time.Time) bool {
 	spec := t.step.spec
 	return t.state == taskRunning && t.step.job.record.Queue.Priority == 0 && !spec.Gang && !spec.Lasting && !t.movedOnce && !t.crashes.Numbered() &&
@@ -143,10 +141,10 @@
 }
 
 const (
-	// slowThreshold is the slowness from which a worker is to blame.
+	// slowThreshold is the slowness from which a worker counts as the cause of missing progress.
 	slowThreshold = 0.65
-	// slowCheckDelay is how long a task is given, and dragPercent what it should have
-	// done by then.
+	// An urgent task is moved off a slow worker if it is below slowCheckPercent after
+	// slowCheckDelay.
 	slowCheckDelay   = 300 * time.Millisecond
 	slowCheckPercent = 35
 )
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -4,37 +4,37 @@
 	"time"
 )
 
-// Trials: a step with a task that may have crashed its worker is placed so that another crash
-// shows which task causes it, and ends little else. Its tasks go to a worker on which no other
-// job has just begun anything, and no other job begins anything there until they have settled.
-// Until a first worker has survived that, the step runs on one worker at a time.
+// A trial isolates a step whose tasks may crash their workers, so that another crash identifies the
+// task and ends few other attempts. The tasks are placed on a worker on which the attempts of other
+// jobs have settled, and no other job starts there until they have settled too. Until a worker has
+// survived a trial, the step runs on one worker at a time.
 
 const (
-	// trialWait is how long a worker on trial may keep a call open, so that its report
-	// comes soon after the attempts have settled.
+	// trialWait is the long-poll timeout for a worker on trial, so that a report arrives soon after
+	// the attempts have settled.
 	trialWait = 200 * time.Millisecond
-	// maxTrialTime bounds for how long a worker takes nothing else for the sake of a trial.
+	// maxTrialTime is the longest time for which a trial reserves a worker.
 	maxTrialTime = 2 * time.Second
 )
 
-// trial keeps a worker for the unsettled attempts of one job.
+// trial reserves a worker for one job while attempts of a suspected step settle.
 type trial struct {
 	step    *step
 	until   time.Time
-	started bool // attempts were granted; until then others that have just begun settle
+	started bool // attempts were granted; before that, the attempts of other jobs settle
 }
 
-// against reports whether a trial keeps a job off the worker.
+// against reports whether the trial keeps a job off the worker.
 func (t trial) against(j *job, now time.Time) bool {
 	return t.step != nil && t.step.job != j && now.Before(t.until)
 }
 
-// onTrial reports whether a trial of a step is under way on the worker.
+// onTrial reports whether a trial of the step is running on the worker.
 func (w *worker) onTrial(st *step, now time.Time) bool {
 	return w.trial.step == st && now.Before(w.trial.until)
 }
 
-// settledExcept reports whether no attempt of another job on the worker is unsettled.
+// settledExcept reports whether all attempts of other jobs on the worker have settled.
 func (w *worker) settledExcept(j *job, now time.Time) bool {
 	for _, t := range w.tasks {
 		if t.step.job != j && !t.settledBy(now) {
@@ -44,12 +44,12 @@
 	return true
 }
 
-// tryOn has the worker take nothing but a step's job for a while.
-func (w *worker) tryOn(st *step, begun bool, now time.Time) {
-	w.trial = trial{st, now.Add(maxTrialTime), begun}
+// tryOn reserves the worker for a step's job for up to maxTrialTime.
+func (w *worker) tryOn(st *step, started bool, now time.Time) {
+	w.trial = trial{st, now.Add(maxTrialTime), started}
 }
 
-// trialUnsettled reports whether attempts of the step on trial have not run for long enough.
+// trialUnsettled reports whether attempts of the step on trial have not settled yet.
 func (w *worker) trialUnsettled(now time.Time) bool {
 	for _, t := range w.tasks {
 		if t.step == w.trial.step && !t.settledBy(now) {
@@ -59,8 +59,8 @@
 	return false
 }
 
-// finishTrial ends the worker's trial once every attempt of its step there has settled or
-// is over, or when it has taken too long. The lock is held.
+// finishTrial ends the worker's trial if all attempts of its step there have settled or ended, or
+// if its time is up. The caller must hold s.mu.
 func (s *Scheduler) finishTrial(w *worker, now time.Time) {
 	if w.trial.step == nil {
 		return
@@ -78,8 +78,8 @@
 	wake(s.dispatchWake)
 }
 
-// clearSuspicionOn takes the suspicion from the step's tasks on a worker, and from the step if no
-// other is left.
+// clearSuspicionOn clears the suspicion of the step's tasks on a worker, and that of the step if no
+// other task is suspected.
 func (st *step) clearSuspicionOn(w *worker) {
 	st.suspected = false
 	for _, t := range st.tasks {
@@ -90,8 +90,8 @@
 	}
 }
 
-// placeOnTrial places tasks of a step under suspicion on one worker. The worker is kept for
-// it from the moment it is chosen, so that what has just begun there settles.
+// placeOnTrial places tasks of a suspected step on one worker. The worker is reserved as soon as it
+// is chosen, so that the attempts of other jobs on it can settle first.
 func (s *Scheduler) placeOnTrial(p *pass, c candidate) {
 	st := c.step
 	var best *worker
@@ -123,8 +123,8 @@
 	}
 }
 
-// claim keeps the workers that a step under suspicion needs together, and reports whether
-// nothing else has just begun on them.
+// claim reserves all workers that a suspected step needs at the same time, and reports whether the
+// attempts of other jobs on them have settled.
 func claim(p *pass, c candidate, shares []share) bool {
 	settled, left := true, len(c.tasks)
 	for _, part := range shares {
@@ -140,11 +140,11 @@
 	return settled
 }
 
-// trialScoreBonus is taken off the score of a worker that is kept for a step. It exceeds all
-// penalties together, so that the same workers are chosen until they are quiet.
+// trialScoreBonus is subtracted from the score of a worker that is reserved for a step. It exceeds
+// the sum of all penalties, so that the same workers are chosen until their attempts have settled.
 const trialScoreBonus = 100.0
 
-// claimed returns by how much a worker's score is lowered for being kept for the step.
+// claimed returns the amount subtracted from a worker's score if it is reserved for the step.
 func (st *step) claimed(w *worker, now time.Time) float64 {
 	if st.suspected && w.onTrial(st, now) {
 		return trialScoreBonus
@@ -152,8 +152,8 @@
 	return 0
 }
 
-// betterTrial reports whether a worker is better for a trial than another: the one that is
-// on trial already, or the one with the least that a crash would take along.
+// betterTrial reports whether w is preferred over other for a trial: a worker that is already on
+// trial, otherwise the one with less CPU in use, which limits the damage of a crash.
 func betterTrial(st *step, w, other *worker, now time.Time) bool {
 	if w.onTrial(st, now) != other.onTrial(st, now) {
 		return w.onTrial(st, now)
@@ -164,8 +164,8 @@
 	return w.info.ID < other.info.ID
 }
 
-// trialRunning reports whether the step is on trial on some worker, and none has survived
-// one yet.
+// trialRunning reports whether the step is on trial on some worker and none has survived a trial
+// yet.
 func (st *step) trialRunning(p *pass) bool {
 	if st.passed {
 		return false
