--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// leastLimit and mostLimit bound the time after which an unanswered order is sent again. The
-	// minimum allows for an owner that reads answers late because it is short of processor time.
+	// Bounds of the time after which an unanswered order is sent again. The minimum allows for an
+	// owner that reads answers late because it is short of processor time.
 	leastLimit = 60 * time.Millisecond
 	mostLimit  = 250 * time.Millisecond
 	// The timeout is the mean latency plus deviationFactor times the mean deviation, as in RFC
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// logIfQuarantined logs and counts a worker whose failure leaves it quarantined.
+// logIfQuarantined logs and counts a worker that is quarantined after a failure.
 func (s *Scheduler) logIfQuarantined(w *worker, now time.Time) {
 	if w.health.reliability.Standing(now) != reliability.Quarantined {
 		return
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -13,9 +13,9 @@
 // worker is the owner's state for one life of a worker process.
 type worker struct {
 	info fleet.Worker
-	// known is whether the discovery list contains this life, and discoveredLife how its entry
-	// names it. recentlyDiscovered is also true if the entry may have been lost in an outage of the
-	// store. The capacity of a life is known only from its own entry.
+	// What discovery says of this life: whether it lists the life, how its entry names it, and
+	// whether it lists it or may have lost the entry in an outage of the store. The capacity of a
+	// life is known only from its own entry.
 	known              bool
 	discoveredLife     fleet.Life
 	recentlyDiscovered bool
@@ -50,16 +50,15 @@
 	persistedWake     chan struct{}
 
 	foreignAttempts int // attempts in the last report that this owner did not grant
-	// grew is the serial of the last placement pass in which the worker could take more than
-	// before.
+	// Serial of the last placement pass in which the worker could take more than before.
 	grew         uint64
 	wasUsable    bool
 	usableIn     uint64 // serial of the last placement pass in which it was usable
 	freed        bool   // since the last placement pass
 	blockedUntil time.Time
 	reserved     reservation
-	yields       []*task // attempts that may be preempted, as of the pass with serial yieldsIn
-	yieldsIn     uint64
+	yields       []*task // attempts that may be preempted
+	yieldsIn     uint64  // serial of the pass in which these were collected
 	health       health
 	standing     reliability.Standing // as of the last placement pass
 }
