--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -7,11 +7,12 @@
 	"chutereach/workload"
 )
 
-// failurePause holds a task back after a failure, so that a broken worker does
-// not burn its attempts in an instant.
-const failurePause = 50 * time.Millisecond
+// failureBackoff delays the next attempt after a failure, so that a faulty worker does not use up a
+// task's attempts at once.
+const failureBackoff = 50 * time.Millisecond
 
-// endAttempt takes in that a task's attempt is over. The lock is held.
+// endAttempt records the end of a task's attempt and decides what follows. The caller must hold
+// s.mu.
 func (s *Scheduler) endAttempt(t *task, outcome fleet.Outcome, checkpoint, why string) {
 	w, st := t.worker, t.step
 	j := st.job
@@ -20,15 +21,15 @@
 	}
 	s.logEnd(t, outcome, why)
 	s.metrics.end(outcome)
-	s.noteOutcome(t, outcome, time.Now())
+	s.recordOutcome(t, outcome, time.Now())
 	w.release(t)
 	switch {
 	case !t.told:
 		t.crashes = t.crashes.WithSpareAttempt()
 	case outcome != fleet.Lapsed && !t.begunAt.IsZero():
-		t.crashes = t.crashes.WithSettled() // its worker has outlived it
+		t.crashes = t.crashes.WithSettled() // the worker survived the attempt
 	}
-	s.settleTrial(w, time.Now())
+	s.finishTrial(w, time.Now())
 	t.ticket, t.recovered = "", false
 	if t.state != taskDone {
 		t.state = taskWaiting
@@ -40,18 +41,18 @@
 	}
 	switch {
 	case outcome == fleet.Done && !st.spec.Lasting:
-		s.taskDone(t)
+		s.handleTaskDone(t)
 	case outcome == fleet.Failed && !st.spec.Lasting:
 		t.failedOn = w
-		s.taskFailed(t)
+		s.handleTaskFailure(t)
 	case outcome == fleet.Failed:
-		st.retryAt = time.Now().Add(failurePause)
+		st.retryAt = time.Now().Add(failureBackoff)
 	}
 	if st.spec.Gang && !st.done() && !j.state.Final() {
 		s.breakGang(st, t.attempt, "another member of the gang ended")
 	}
 	if !j.state.Final() {
-		s.giveUpCrashing(t)
+		s.failIfCrashing(t)
 	}
 }
 
@@ -62,20 +63,20 @@
 	}
 	event.Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
 		Str("worker", t.worker.info.ID).Str("outcome", string(outcome)).Str("why", why).
-		Dur("ran", t.ran()).Int("failures", t.failures).Msg("attempt over")
+		Dur("ran", t.runTime()).Int("failures", t.failures).Msg("attempt over")
 }
 
-// ran returns for how long the attempt at hand is known to have run: from when its worker
-// confirmed it until the last answer of the worker.
-func (t *task) ran() time.Duration {
+// runTime returns the confirmed run time of the current attempt: from the worker's confirmation of
+// the start until its last report.
+func (t *task) runTime() time.Duration {
 	if t.begunAt.IsZero() {
 		return 0
 	}
 	return max(0, t.worker.contact.Sub(t.begunAt))
 }
 
-// taskDone takes in that a task is done; a gang is done with its first member.
-func (s *Scheduler) taskDone(t *task) {
+// handleTaskDone marks a task as done. A gang is done once its first member is.
+func (s *Scheduler) handleTaskDone(t *task) {
 	st := t.step
 	if st.spec.Gang {
 		for _, member := range st.tasks {
@@ -90,8 +91,9 @@
 	}
 }
 
-// taskFailed counts a failure, and gives the job up after the last one.
-func (s *Scheduler) taskFailed(t *task) {
+// handleTaskFailure counts a failure of a task, and fails the job when the task has no attempts
+// left.
+func (s *Scheduler) handleTaskFailure(t *task) {
 	st := t.step
 	t.failures++
 	if st.spec.Gang {
@@ -99,16 +101,15 @@
 			member.failures = t.failures
 		}
 	}
-	st.retryAt = time.Now().Add(failurePause)
+	st.retryAt = time.Now().Add(failureBackoff)
 	if t.failures >= st.job.record.Queue.Attempts {
 		s.finish(st.job, workload.Failed, "a task has failed "+t.id().String())
 	}
 }
 
-// breakGang recalls the other members of a gang's attempt at once. Without a member the gang
-// never comes together, and it can take 4.8 s until it is certain that one in doubt is over
-// (startWithin and a lease of 3 s): the others would wait, with their room taken, until their
-// workers end them.
+// breakGang stops the other members of a gang's attempt. The gang cannot run without all members,
+// and replacing a member in doubt can take startWithin plus a lease; until then the others would
+// occupy their room for nothing.
 func (s *Scheduler) breakGang(st *step, attempt int, why string) {
 	for _, member := range st.tasks {
 		if member.attempt != attempt {
@@ -123,7 +124,7 @@
 	}
 }
 
-// finish makes a job final and recalls what still runs of it.
+// finish makes a job final and stops its remaining attempts.
 func (s *Scheduler) finish(j *job, state workload.State, why string) {
 	if j.state.Final() {
 		return
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -10,115 +10,114 @@
 )
 
 const (
-	// holdWait is how long a worker may keep a call open until an end comes.
+	// holdWait is the long-poll timeout: how long a worker may wait for an end before it answers.
 	holdWait = time.Second
-	// holdSlack is how much longer the answer is waited for.
-	holdSlack = 400 * time.Millisecond
-	// holdPause follows a call that failed, noteWait one whose ends are not yet
-	// in the store.
-	holdPause = 200 * time.Millisecond
-	noteWait  = 300 * time.Millisecond
-	// lastExtension is how long before an owner must stop to extend leases it does so
+	// holdGrace is added to the long-poll timeout to get the timeout of the call.
+	holdGrace = 400 * time.Millisecond
+	// holdPause is the delay after a failed call, and persistTimeout the longest delay after a call
+	// that reported ends, to have them stored.
+	holdPause      = 200 * time.Millisecond
+	persistTimeout = 300 * time.Millisecond
+	// finalExtensionMargin is how long before an owner must stop extending leases it extends them
 	// for the last time.
-	lastExtension = 150 * time.Millisecond
-	// unconfirmedWait is holdWait for an owner that may not extend leases, so that it
-	// does so soon after the store's return.
+	finalExtensionMargin = 150 * time.Millisecond
+	// unconfirmedWait replaces holdWait while the owner may not extend leases, so that it resumes
+	// soon after the store recovers.
 	unconfirmedWait = 250 * time.Millisecond
-	// lossyWait and lossySlack take the place of holdWait and holdSlack while answers
-	// are lost: until a call is given up, no end on its worker is heard of.
+	// lossyWait and lossyGrace replace holdWait and holdGrace while calls are lost: a lost call
+	// hides the ends on its worker until it times out.
 	lossyWait  = 250 * time.Millisecond
-	lossySlack = 100 * time.Millisecond
-	// freshFor is how old a report may be for a worker to get new tasks.
-	freshFor = holdWait + holdSlack + holdPause
-	// clockDrift and clockSlack widen a lease that is counted on another clock.
+	lossyGrace = 100 * time.Millisecond
+	// reportMaxAge is the maximum age of the last report of a worker that gets new tasks.
+	reportMaxAge = holdWait + holdGrace + holdPause
+	// clockDrift and clockSlack extend a lease that is measured by another clock.
 	clockDrift = 0.03
 	clockSlack = 200 * time.Millisecond
 )
 
-// follow holds a worker until its life is over or ctx ends. Its first call waits for its turn: at a
-// takeover they all come at once, each with a new connection.
-func (s *Scheduler) follow(ctx context.Context, w *worker, turn callTurn) {
-	if s.firstCalls.await(ctx, turn) != nil {
+// pollWorker polls a worker until its life ends or ctx is cancelled. The first call waits for a
+// slot, because a takeover opens new connections to all workers at once.
+func (s *Scheduler) pollWorker(ctx context.Context, w *worker, slot callSlot) {
+	if s.firstCalls.acquire(ctx, slot) != nil {
 		return
 	}
-	leave := s.firstCalls.leaveWithin(firstCallTurn)
-	answer := s.hold(ctx, w)
-	leave()
-	for s.holdAnswered(ctx, w, answer) {
-		answer = s.hold(ctx, w)
+	release := s.firstCalls.releaseAfter(firstCallTimeout)
+	result := s.hold(ctx, w)
+	release()
+	for s.handleHoldResult(ctx, w, result) {
+		result = s.hold(ctx, w)
 	}
 }
 
-// holdAnswer is what came of a call that holds a worker, with what order and when it was sent.
-type holdAnswer struct {
+// holdResult is the result of a hold call.
+type holdResult struct {
 	report fleet.Report
 	order  fleet.HoldOrder
 	sent   time.Time
 	err    error
 }
 
-// hold makes one call to a worker.
-func (s *Scheduler) hold(ctx context.Context, w *worker) holdAnswer {
+// hold makes one hold call, which long-polls a worker for its report and extends its lease.
+func (s *Scheduler) hold(ctx context.Context, w *worker) holdResult {
 	order, sent := s.holdOrder(w)
-	callCtx, cancel := context.WithTimeout(ctx, s.holdLimit(w, order))
+	callCtx, cancel := context.WithTimeout(ctx, s.holdTimeout(w, order))
 	defer cancel()
-	report, err := s.client.Hold(callCtx, s.infoOf(w), order)
-	return holdAnswer{report, order, sent, err}
+	report, err := s.client.Hold(callCtx, s.workerInfo(w), order)
+	return holdResult{report, order, sent, err}
 }
 
-// holdAnswered takes in what came of a call, waits until the next is due, and reports whether there
-// is to be one.
-func (s *Scheduler) holdAnswered(ctx context.Context, w *worker, answer holdAnswer) bool {
+// handleHoldResult processes the result of a call and waits until the next one is due. It returns
+// false if there is none.
+func (s *Scheduler) handleHoldResult(ctx context.Context, w *worker, result holdResult) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if answer.err != nil {
-		if s.holdFailed(w, answer.order, answer.err) {
+	if result.err != nil {
+		if s.handleHoldFailure(w, result.order, result.err) {
 			return false
 		}
-		wait.For(ctx, s.pauseAfterFailure(w))
+		wait.For(ctx, s.retryDelay(w))
 		return ctx.Err() == nil
 	}
-	if s.takeReport(w, answer.report, answer.sent) {
-		s.awaitNoted(ctx, w)
+	if s.takeReport(w, result.report, result.sent) {
+		s.awaitPersisted(ctx, w)
 	}
 	return ctx.Err() == nil
 }
 
 const (
-	// maxFirstCalls bounds the first calls to workers that have their turn.
+	// maxFirstCalls limits the number of first calls that hold a slot at the same time.
 	maxFirstCalls = 32
-	// firstCallTurn is for how long a first call has its turn. A worker that has not answered by
-	// then may be gone, and costs no more than the wait for it: where many are gone, the others
-	// would wait for all of them.
-	firstCallTurn = 25 * time.Millisecond
+	// firstCallTimeout is how long a first call holds its slot. An unreachable worker delays the
+	// others by no more than that; its call continues without a slot.
+	firstCallTimeout = 25 * time.Millisecond
 )
 
-// holdLimit returns how long a call may take. One to a worker that has not answered
-// ends with its lease, so that what ran there is placed anew at once.
-func (s *Scheduler) holdLimit(w *worker, order fleet.HoldOrder) time.Duration {
+// holdTimeout returns the timeout of a call. A call to an unresponsive worker ends with its lease,
+// so that its tasks are placed again at once.
+func (s *Scheduler) holdTimeout(w *worker, order fleet.HoldOrder) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	limit := order.Wait + holdSlack
+	timeout := order.Wait + holdGrace
 	if s.answers.lossy {
-		limit = order.Wait + max(lossySlack, s.answers.limit())
+		timeout = order.Wait + max(lossyGrace, s.answers.limit())
 	}
-	limit += s.patience()
-	if rest := time.Until(w.leaseEnds); w.failing && rest > 0 {
-		limit = min(limit, rest+time.Millisecond)
+	timeout += s.patience()
+	if remaining := time.Until(w.leaseExpiry); w.failing && remaining > 0 {
+		timeout = min(timeout, remaining+time.Millisecond)
 	}
-	return limit
+	return timeout
 }
 
-func (s *Scheduler) infoOf(w *worker) fleet.Worker {
+func (s *Scheduler) workerInfo(w *worker) fleet.Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return w.info
 }
 
-// holdOrder says what to ask of a worker next. Nothing is extended while the
-// store has not confirmed the term for a while, nor after a call without answer:
-// then the time by which everything there has ended stays certain.
+// holdOrder returns the next order for a worker and the time at which it is sent. An order does not
+// extend the lease while the store has not confirmed the term recently, nor after an unanswered
+// call, so that the known lease expiry remains an upper bound.
 func (s *Scheduler) holdOrder(w *worker) (fleet.HoldOrder, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,41 +130,41 @@
 		order.Wait = min(order.Wait, trialWait)
 	}
 	first := w.contact.IsZero()
-	if first || w.failing || len(w.pending) > 0 {
+	if first || w.failing || len(w.pendingEnds) > 0 {
 		order.Wait = 0
 	}
-	rest := confirmedFor - s.term.Unconfirmed()
-	if rest < 0 {
+	remaining := confirmedFor - s.term.Unconfirmed()
+	if remaining < 0 {
 		order.Wait = min(order.Wait, unconfirmedWait)
 	}
-	if w.failing || first || rest < 0 {
+	if w.failing || first || remaining < 0 {
 		return order, now
 	}
-	if rest > lastExtension && rest < holdWait {
-		order.Wait = min(order.Wait, rest-lastExtension) // then it is extended once more
+	if remaining > finalExtensionMargin && remaining < holdWait {
+		order.Wait = min(order.Wait, remaining-finalExtensionMargin) // returns in time for a final extension
 	}
 	order.Deadline = w.clockNow(now) + fleet.Clock(s.lease.Milliseconds())
 	w.extends(now, s.lease)
 	return order, now
 }
 
-// pauseAfterFailure returns how long to wait before the next call to a worker that
-// does not answer; not beyond the end of its lease.
-func (s *Scheduler) pauseAfterFailure(w *worker) time.Duration {
+// retryDelay counts a failed call and returns the delay before the next one, which is at most the
+// remaining lease.
+func (s *Scheduler) retryDelay(w *worker) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.failures++
-	if w.failures == 1 && !w.contact.IsZero() && s.lateness() < lateFrom {
-		return 0 // it may be the one call that was lost
+	w.failedCalls++
+	if w.failedCalls == 1 && !w.contact.IsZero() && s.lateness() < lateThreshold {
+		return 0 // a single call may have been lost
 	}
-	if rest := time.Until(w.leaseEnds); rest > 0 {
-		return min(holdPause, rest)
+	if remaining := time.Until(w.leaseExpiry); remaining > 0 {
+		return min(holdPause, remaining)
 	}
 	return holdPause
 }
 
-// holdFailed notes a failed call and reports whether the life is over.
-func (s *Scheduler) holdFailed(w *worker, order fleet.HoldOrder, err error) bool {
+// handleHoldFailure processes a failed call and reports whether the worker's life has ended.
+func (s *Scheduler) handleHoldFailure(w *worker, order fleet.HoldOrder, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var refused *fleet.RefusedError
@@ -177,61 +176,61 @@
 		s.endLife(w, "another life answers at its address")
 		return true
 	}
-	s.outdate(w.info.ID)
+	s.markTokenStale(w.info.ID)
 	if !w.failing {
 		s.noteAnswer(false)
-		w.failing, w.failedAt, w.closed = true, time.Now(), fleet.IsClosed(err)
-		if w.closed {
-			s.noteBreak(w, w.failedAt)
+		w.failing, w.unresponsiveSince, w.connectionClosed = true, time.Now(), fleet.IsClosed(err)
+		if w.connectionClosed {
+			s.recordDisconnect(w, w.unresponsiveSince)
 		}
 		s.log.Warn().Str("worker", w.info.ID).Err(err).Msg("worker does not answer")
 	}
-	if time.Now().After(w.leaseEnds) {
-		s.lapse(w, "lease ran out")
+	if time.Now().After(w.leaseExpiry) {
+		s.expireAttempts(w, "lease expired")
 		if !w.known {
-			s.endLife(w, "gone and its lease has run out")
+			s.endLife(w, "removed from discovery, and its lease has expired")
 			return true
 		}
 	}
 	return false
 }
 
-// lapse ends every attempt on a worker whose lease has run out or whose life is over. The end
-// of one member of a gang takes back the others that were only granted, so each is looked at
-// anew. The lock is held.
-func (s *Scheduler) lapse(w *worker, why string) {
-	for _, t := range w.list() {
+// expireAttempts ends every attempt on a worker whose lease has expired or whose life has ended.
+// Ending a gang member cancels other granted members, so each attempt is checked again. The caller
+// must hold s.mu.
+func (s *Scheduler) expireAttempts(w *worker, why string) {
+	for _, t := range w.taskList() {
 		if t.worker == w {
-			s.noteLost(t)
+			s.recordLost(t)
 			s.endAttempt(t, fleet.Lapsed, "", why)
 		}
 	}
 }
 
-// endLife forgets a worker and everything on it. The lock is held.
+// endLife ends all attempts on a worker and removes it. The caller must hold s.mu.
 func (s *Scheduler) endLife(w *worker, why string) {
 	if w.over {
 		return
 	}
 	w.over = true
-	s.lapse(w, why)
-	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", names(w.lost)).Bool("leaving", w.leaving).
-		Dur("silent", time.Since(w.contact)).Msg("worker is over")
-	s.settleEnded(w)
+	s.expireAttempts(w, why)
+	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", attemptNames(w.lost)).Bool("leaving", w.leaving).
+		Dur("silent", time.Since(w.contact)).Msg("worker life ended")
+	s.countLost(w)
 	if w.cancel != nil {
 		w.cancel()
 	}
-	s.leave(w)
-	if w.known && !s.namedLater(w) {
-		s.past[w.listed] = true
+	s.removeLife(w)
+	if w.known && !s.sharesDiscoveryEntry(w) {
+		s.past[w.discoveredLife] = true
 	}
 	wake(s.dispatchWake)
 }
 
-// awaitNoted waits until the ends that were just taken in are in the store, so
-// that the next call does not return at once with the same ends.
-func (s *Scheduler) awaitNoted(ctx context.Context, w *worker) {
-	timer := time.NewTimer(noteWait)
+// awaitPersisted waits up to persistTimeout until the processed ends are stored. A call before that
+// would return the same ends at once.
+func (s *Scheduler) awaitPersisted(ctx context.Context, w *worker) {
+	timer := time.NewTimer(persistTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -239,12 +238,12 @@
 			return
 		case <-timer.C:
 			return
-		case <-w.noteWake:
+		case <-w.persistedWake:
 		}
 		s.mu.Lock()
-		rest := len(w.pending)
+		remaining := len(w.pendingEnds)
 		s.mu.Unlock()
-		if rest == 0 {
+		if remaining == 0 {
 			return
 		}
 	}
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -4,38 +4,38 @@
 	"time"
 )
 
-// Trials: a step with a task that may have crashed its worker is placed so that another crash
-// shows which task causes it, and ends little else. Its tasks go to a worker on which no other
-// job has just begun anything, and no other job begins anything there until they have settled.
-// Until a first worker has survived that, the step runs on one worker at a time.
+// A trial isolates a step whose tasks may crash their workers, so that another crash identifies the
+// task and ends few other attempts. The tasks are placed on a worker on which the attempts of other
+// jobs have settled, and no other job starts there until they have settled too. Until a worker has
+// survived a trial, the step runs on one worker at a time.
 
 const (
-	// trialWait is how long a worker on trial may keep a call open, so that its report
-	// comes soon after the attempts have settled.
+	// trialWait is the long-poll timeout for a worker on trial, so that a report arrives soon after
+	// the attempts have settled.
 	trialWait = 200 * time.Millisecond
-	// mostTrial bounds for how long a worker takes nothing else for the sake of a trial.
-	mostTrial = 2 * time.Second
+	// maxTrialTime is the longest time for which a trial reserves a worker.
+	maxTrialTime = 2 * time.Second
 )
 
-// trial keeps a worker for the unsettled attempts of one job.
+// trial reserves a worker for one job while attempts of a suspected step settle.
 type trial struct {
-	step  *step
-	until time.Time
-	begun bool // attempts were granted; until then others that have just begun settle
+	step    *step
+	until   time.Time
+	started bool // attempts were granted; before that, the attempts of other jobs settle
 }
 
-// against reports whether a trial keeps a job off the worker.
+// against reports whether the trial keeps a job off the worker.
 func (t trial) against(j *job, now time.Time) bool {
 	return t.step != nil && t.step.job != j && now.Before(t.until)
 }
 
-// onTrial reports whether a trial of a step is under way on the worker.
+// onTrial reports whether a trial of the step is running on the worker.
 func (w *worker) onTrial(st *step, now time.Time) bool {
 	return w.trial.step == st && now.Before(w.trial.until)
 }
 
-// quiet reports whether no attempt of another job on the worker is unsettled.
-func (w *worker) quiet(j *job, now time.Time) bool {
+// settledExcept reports whether all attempts of other jobs on the worker have settled.
+func (w *worker) settledExcept(j *job, now time.Time) bool {
 	for _, t := range w.tasks {
 		if t.step.job != j && !t.settledBy(now) {
 			return false
@@ -44,13 +44,13 @@
 	return true
 }
 
-// tryOn has the worker take nothing but a step's job for a while.
-func (w *worker) tryOn(st *step, begun bool, now time.Time) {
-	w.trial = trial{st, now.Add(mostTrial), begun}
+// tryOn reserves the worker for a step's job for up to maxTrialTime.
+func (w *worker) tryOn(st *step, started bool, now time.Time) {
+	w.trial = trial{st, now.Add(maxTrialTime), started}
 }
 
-// unsettled reports whether attempts of the step on trial have not run for long enough.
-func (w *worker) unsettled(now time.Time) bool {
+// trialUnsettled reports whether attempts of the step on trial have not settled yet.
+func (w *worker) trialUnsettled(now time.Time) bool {
 	for _, t := range w.tasks {
 		if t.step == w.trial.step && !t.settledBy(now) {
 			return true
@@ -59,28 +59,28 @@
 	return false
 }
 
-// settleTrial ends the worker's trial once every attempt of its step there has settled or
-// is over, or when it has taken too long. The lock is held.
-func (s *Scheduler) settleTrial(w *worker, now time.Time) {
+// finishTrial ends the worker's trial if all attempts of its step there have settled or ended, or
+// if its time is up. The caller must hold s.mu.
+func (s *Scheduler) finishTrial(w *worker, now time.Time) {
 	if w.trial.step == nil {
 		return
 	}
-	survived := w.trial.begun && !w.unsettled(now) && !w.failing && !w.over
+	survived := w.trial.started && !w.trialUnsettled(now) && !w.failing && !w.over
 	if !survived && now.Before(w.trial.until) {
 		return
 	}
 	st := w.trial.step
 	if survived {
 		st.passed = true
-		st.clearOn(w)
+		st.clearSuspicionOn(w)
 	}
 	w.trial, w.freed = trial{}, true
 	wake(s.dispatchWake)
 }
 
-// clearOn takes the suspicion from the step's tasks on a worker, and from the step if no
-// other is left.
-func (st *step) clearOn(w *worker) {
+// clearSuspicionOn clears the suspicion of the step's tasks on a worker, and that of the step if no
+// other task is suspected.
+func (st *step) clearSuspicionOn(w *worker) {
 	st.suspected = false
 	for _, t := range st.tasks {
 		if t.worker == w {
@@ -90,8 +90,8 @@
 	}
 }
 
-// placeOnTrial places tasks of a step under suspicion on one worker. The worker is kept for
-// it from the moment it is chosen, so that what has just begun there settles.
+// placeOnTrial places tasks of a suspected step on one worker. The worker is reserved as soon as it
+// is chosen, so that the attempts of other jobs on it can settle first.
 func (s *Scheduler) placeOnTrial(p *pass, c candidate) {
 	st := c.step
 	var best *worker
@@ -107,12 +107,12 @@
 		return
 	}
 	if !best.onTrial(st, p.now) {
-		if st.trialUnderWay(p) {
+		if st.trialRunning(p) {
 			return
 		}
 		best.tryOn(st, false, p.now)
 	}
-	if !best.quiet(st.job, p.now) {
+	if !best.settledExcept(st.job, p.now) {
 		return
 	}
 	for _, t := range c.waiting() {
@@ -123,10 +123,10 @@
 	}
 }
 
-// claim keeps the workers that a step under suspicion needs together, and reports whether
-// nothing else has just begun on them.
+// claim reserves all workers that a suspected step needs at the same time, and reports whether the
+// attempts of other jobs on them have settled.
 func claim(p *pass, c candidate, shares []share) bool {
-	quiet, left := true, len(c.tasks)
+	settled, left := true, len(c.tasks)
 	for _, part := range shares {
 		if left <= 0 {
 			break
@@ -135,25 +135,25 @@
 		if !part.worker.onTrial(c.step, p.now) {
 			part.worker.tryOn(c.step, false, p.now)
 		}
-		quiet = quiet && part.worker.quiet(c.step.job, p.now)
+		settled = settled && part.worker.settledExcept(c.step.job, p.now)
 	}
-	return quiet
+	return settled
 }
 
-// claimBonus is taken off the score of a worker that is kept for a step. It exceeds all
-// penalties together, so that the same workers are chosen until they are quiet.
-const claimBonus = 100.0
+// trialScoreBonus is subtracted from the score of a worker that is reserved for a step. It exceeds
+// the sum of all penalties, so that the same workers are chosen until their attempts have settled.
+const trialScoreBonus = 100.0
 
-// claimed returns by how much a worker's score is lowered for being kept for the step.
+// claimed returns the amount subtracted from a worker's score if it is reserved for the step.
 func (st *step) claimed(w *worker, now time.Time) float64 {
 	if st.suspected && w.onTrial(st, now) {
-		return claimBonus
+		return trialScoreBonus
 	}
 	return 0
 }
 
-// betterTrial reports whether a worker is better for a trial than another: the one that is
-// on trial already, or the one with the least that a crash would take along.
+// betterTrial reports whether w is preferred over other for a trial: a worker that is already on
+// trial, otherwise the one with less CPU in use, which limits the damage of a crash.
 func betterTrial(st *step, w, other *worker, now time.Time) bool {
 	if w.onTrial(st, now) != other.onTrial(st, now) {
 		return w.onTrial(st, now)
@@ -164,9 +164,9 @@
 	return w.info.ID < other.info.ID
 }
 
-// trialUnderWay reports whether the step is on trial on some worker, and none has survived
-// one yet.
-func (st *step) trialUnderWay(p *pass) bool {
+// trialRunning reports whether the step is on trial on some worker and none has survived a trial
+// yet.
+func (st *step) trialRunning(p *pass) bool {
 	if st.passed {
 		return false
 	}
