--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -77,7 +77,7 @@
 		Scheduler: scheduler.Config{
 			Shard: shard, Lease: set.LeaseInForce(), LongestLease: set.Times.LongestLease, KeepFinal: set.Times.KeepFinal,
 			PartitionWrites: set.Store.PartitionWrites, EvacuateWithin: set.Times.Evacuate,
-			Workers: scheduler.WorkerTimes{Stop: set.Worker.Stop, Restore: set.Worker.Restore}, RemoteFactor: set.Worker.RemoteFactor,
+			WorkerTimes: scheduler.WorkerTimes{Stop: set.Worker.Stop, Restore: set.Worker.Restore}, RemoteFactor: set.Worker.RemoteFactor,
 		},
 		Owns: collectFor,
 	}, node.Platform{
--- a/node/handover.go
+++ b/node/handover.go
@@ -95,7 +95,7 @@
 		holdLimit = failingStoreHoldTimeout
 	}
 	holdCtx, cancel := context.WithTimeout(ctx, holdLimit)
-	release, err := own.Hold(holdCtx)
+	release, err := own.HoldCommits(holdCtx)
 	cancel()
 	if err == nil {
 		defer release()
--- a/node/load_test.go
+++ b/node/load_test.go
@@ -28,7 +28,7 @@
 		time.Sleep(500 * time.Millisecond)
 		begun := time.Now()
 		err := c.submit(m, "job")
-		var overloaded *scheduler.OverloadedError
+		var overloaded *scheduler.RejectedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
 			t.Errorf("got %v, want to be told when to come back", err)
 		}
--- a/node/members.go
+++ b/node/members.go
@@ -165,14 +165,14 @@
 		return
 	}
 	self := n.config.Self
-	lanes := []scheduler.Lane{{Node: self.Node, Self: true, Advisor: n.platform.Advisor}}
+	lanes := []scheduler.AdviceNode{{Node: self.Node, Self: true, Advisor: n.platform.Advisor}}
 	for _, member := range n.others() {
 		if n.peers[member.Node].lost {
 			continue
 		}
-		lanes = append(lanes, scheduler.Lane{Node: member.Node, Advisor: remoteAdvisor{n, member.Address}})
+		lanes = append(lanes, scheduler.AdviceNode{Node: member.Node, Advisor: remoteAdvisor{n, member.Address}})
 	}
-	n.own.SetLanes(lanes)
+	n.own.SetAdviceNodes(lanes)
 }
 
 // remoteAdvisor requests advice from another node.
--- a/node/messages.go
+++ b/node/messages.go
@@ -182,8 +182,8 @@
 // encodeError gives a scheduler's error its code.
 func encodeError(err error) error {
 	var (
-		overloaded  *scheduler.OverloadedError
-		notJob      *scheduler.NotJobError
+		overloaded  *scheduler.RejectedError
+		notJob      *scheduler.UnknownJobError
 		unconfirmed *scheduler.UnconfirmedError
 		deposed     *scheduler.DeposedError
 		overQuota   *scheduler.QuotaError
@@ -222,9 +222,9 @@
 	}
 	switch failure.Code {
 	case codeOverloaded:
-		return &scheduler.OverloadedError{Why: failure.Message, RetryAfter: retryAfter}
+		return &scheduler.RejectedError{Reason: failure.Message, RetryAfter: retryAfter}
 	case codeUnknownJob:
-		return &scheduler.NotJobError{ID: id}
+		return &scheduler.UnknownJobError{ID: id}
 	case codeUnconfirmed:
 		return &scheduler.UnconfirmedError{Cause: failure}
 	case codeNotOwner:
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -227,7 +227,7 @@
 				t.Errorf("%s: %v", m.name, err)
 			}
 		}
-		var notJob *scheduler.NotJobError
+		var notJob *scheduler.UnknownJobError
 		for _, m := range c.nodes {
 			if _, err := m.State(c.ctx, "unknown"); !errors.As(err, &notJob) {
 				t.Errorf("%s: an unknown job: %v", m.name, err)
@@ -345,7 +345,7 @@
 		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		begun := time.Now()
 		err := c.submit(m, "job")
-		var overloaded *scheduler.OverloadedError
+		var overloaded *scheduler.RejectedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
 			t.Errorf("got %v, want to be told when to come back", err)
 		}
--- a/node/serve.go
+++ b/node/serve.go
@@ -32,9 +32,9 @@
 		_, err := peer.Call[nothing](ctx, n.client, address, submitPath, submitCall{id, record, within, caller})
 		return err
 	})
-	var overloaded *scheduler.OverloadedError
+	var overloaded *scheduler.RejectedError
 	if errors.As(err, &overloaded) {
-		return &scheduler.OverloadedError{Why: overloaded.Why, RetryAfter: record.Queue.RetryAfter(record.Request)}
+		return &scheduler.RejectedError{Reason: overloaded.Reason, RetryAfter: record.Queue.RetryAfter(record.Request)}
 	}
 	return err
 }
@@ -88,7 +88,7 @@
 			unreachable *peer.UnreachableError
 			lost        *peer.LostError
 			unconfirmed *scheduler.UnconfirmedError
-			overloaded  *scheduler.OverloadedError
+			overloaded  *scheduler.RejectedError
 		)
 		switch {
 		case errors.As(err, &notOwner), errors.As(err, &unreachable):
@@ -103,7 +103,7 @@
 			if unsettled != nil {
 				return &scheduler.UnconfirmedError{Cause: unsettled}
 			}
-			return &scheduler.OverloadedError{Why: "no owner: " + err.Error(), RetryAfter: retryAfter}
+			return &scheduler.RejectedError{Reason: "no owner: " + err.Error(), RetryAfter: retryAfter}
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	default:
 	}
 	if n.loadFails.Load() {
-		return &scheduler.OverloadedError{Why: "the store does not let the shard be loaded", RetryAfter: retryAfter}
+		return &scheduler.RejectedError{Reason: "the store does not let the shard be loaded", RetryAfter: retryAfter}
 	}
 	timer := time.NewTimer(loadWait)
 	defer timer.Stop()
--- a/scheduler/account.go
+++ b/scheduler/account.go
@@ -19,9 +19,9 @@
 	// used is the resources of all attempts from their grant until they are known to be over.
 	// A start counts before it is sent, and a stopped attempt until its end is reported, so
 	// that a delayed order cannot take the account over its quota.
-	used        resource.Amount
-	placedTasks map[*task]struct{}
-	refused     int // jobs rejected because they could never fit the quota
+	used         resource.Amount
+	placedTasks  map[*task]struct{}
+	rejectedJobs int // jobs rejected because they could never fit the quota
 	// meter decides which jobs exceed the account's weight; excessJobs counts these.
 	meter      fairness.Meter
 	excessJobs int
@@ -31,12 +31,12 @@
 	return &accountState{terms: terms, placedTasks: map[*task]struct{}{}}
 }
 
-func (a *accountState) host(t *task) {
+func (a *accountState) addTask(t *task) {
 	a.used = a.used.Plus(t.step.spec.Need)
 	a.placedTasks[t] = struct{}{}
 }
 
-func (a *accountState) release(t *task) {
+func (a *accountState) removeTask(t *task) {
 	a.used = a.used.Minus(t.step.spec.Need)
 	delete(a.placedTasks, t)
 }
@@ -101,7 +101,7 @@
 	defer s.mu.Unlock()
 	waiting, held := map[*accountState]int{}, map[*accountState]int{}
 	for _, j := range s.active {
-		if !j.begun {
+		if !j.started {
 			waiting[j.account]++
 		}
 		held[j.account] += j.heldSteps()
@@ -114,7 +114,7 @@
 	for _, a := range states[:min(len(states), maxListedAccounts)] {
 		list = append(list, AccountUsage{
 			Account: a.terms.Name, Used: a.used.String(), Quota: resource.Amount(a.terms.Quota).String(),
-			Waiting: waiting[a], Held: held[a], Refused: a.refused, Beyond: a.excessJobs,
+			Waiting: waiting[a], Held: held[a], Refused: a.rejectedJobs, Beyond: a.excessJobs,
 		})
 	}
 	return list
@@ -124,7 +124,7 @@
 	count := 0
 	for _, r := range j.rounds {
 		for _, st := range r.steps {
-			if !st.heldAt.IsZero() && !st.done() {
+			if !st.quotaHeldSince.IsZero() && !st.done() {
 				count++
 			}
 		}
@@ -132,8 +132,8 @@
 	return count
 }
 
-// forgetAccounts removes accounts without jobs and placed tasks. The caller holds the lock.
-func (s *Scheduler) forgetAccounts() {
+// removeIdleAccounts removes accounts without jobs and placed tasks. The caller holds the lock.
+func (s *Scheduler) removeIdleAccounts() {
 	inUse := make(map[*accountState]bool, len(s.accounts))
 	for _, j := range s.jobs {
 		inUse[j.account] = true
--- a/scheduler/accounts_test.go
+++ b/scheduler/accounts_test.go
@@ -31,7 +31,7 @@
 }
 
 func (c *cell) withAccounts(terms ...account.Terms) *accountCell {
-	a := &accountCell{cell: c, owner: c.rule(), terms: map[string]account.Terms{}}
+	a := &accountCell{cell: c, owner: c.startOwner(), terms: map[string]account.Terms{}}
 	for _, t := range terms {
 		a.setTerms(t)
 	}
@@ -57,7 +57,7 @@
 // replaceOwner kills the owner and starts its successor.
 func (a *accountCell) replaceOwner() {
 	a.owner.kill()
-	next := a.rule()
+	next := a.startOwner()
 	a.mu.Lock()
 	a.owner = next
 	a.mu.Unlock()
@@ -120,10 +120,10 @@
 
 // A job is not visible to other accounts, and they cannot reuse its ID.
 func TestJobAccessByOtherAccounts(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
+	withCell(t, 2, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1}, account.Terms{Name: "b", Weight: 1})
-		a.mustSubmit("a", "job", c.queue, jobOf(1, 1_000), time.Second)
-		a.mustSubmit("", "open", c.queue, jobOf(1, 1_000), time.Second)
+		a.mustSubmit("a", "job", c.queue, newRequest(1, 1_000), time.Second)
+		a.mustSubmit("", "open", c.queue, newRequest(1, 1_000), time.Second)
 		a.checkOwnership("running")
 		a.replaceOwner()
 		a.checkOwnership("after a takeover")
@@ -139,12 +139,12 @@
 func (a *accountCell) checkOwnership(stage string) {
 	a.t.Helper()
 	_, err := a.owner.Scheduler.State(a.ctx, "b", "job")
-	wantError[*scheduler.NotJobError](a.t, stage+": State by another account", err)
+	wantError[*scheduler.UnknownJobError](a.t, stage+": State by another account", err)
 	err = a.owner.Scheduler.Cancel(a.ctx, "b", "job")
-	wantError[*scheduler.NotJobError](a.t, stage+": Cancel by another account", err)
-	err = a.submit("b", "job", a.queue, jobOf(1, 1_000), time.Second)
-	wantError[*scheduler.OverloadedError](a.t, stage+": Submit of the same ID by another account", err)
-	if err := a.submit("a", "job", a.queue, jobOf(1, 1_000), time.Second); err != nil {
+	wantError[*scheduler.UnknownJobError](a.t, stage+": Cancel by another account", err)
+	err = a.submit("b", "job", a.queue, newRequest(1, 1_000), time.Second)
+	wantError[*scheduler.RejectedError](a.t, stage+": Submit of the same ID by another account", err)
+	if err := a.submit("a", "job", a.queue, newRequest(1, 1_000), time.Second); err != nil {
 		a.t.Errorf("%s: Submit of the same job again: %v", stage, err)
 	}
 	if _, err := a.owner.Scheduler.State(a.ctx, "b", "open"); err != nil {
@@ -154,12 +154,12 @@
 
 // AccountUsage reports the usage of each account and the jobs held back or refused by its quota.
 func TestAccountUsage(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(8_000)}, account.Terms{Name: "b", Weight: 1})
-		a.mustSubmit("a", "wide", c.queue, jobOf(4, 4_000), 2*time.Second)
-		a.mustSubmit("a", "later", c.queue, jobOf(1, 4_000), time.Second)
-		a.mustSubmit("b", "beside", c.queue, jobOf(1, 1_000), 2*time.Second)
-		err := a.submit("a", "never", c.queue, gangOf(4, 4_000), time.Second)
+		a.mustSubmit("a", "wide", c.queue, newRequest(4, 4_000), 2*time.Second)
+		a.mustSubmit("a", "later", c.queue, newRequest(1, 4_000), time.Second)
+		a.mustSubmit("b", "beside", c.queue, newRequest(1, 1_000), 2*time.Second)
+		err := a.submit("a", "never", c.queue, newGangRequest(4, 4_000), time.Second)
 		wantError[*scheduler.QuotaError](t, "a gang that does not fit", err)
 		time.Sleep(500 * time.Millisecond)
 		got := a.owner.AccountUsage()
@@ -175,9 +175,9 @@
 
 // A job whose account is removed from the configuration keeps the terms it was submitted with.
 func TestAccountRemovedWhileJobsRun(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(4_000)})
-		a.mustSubmit("a", "job", c.queue, jobOf(3, 4_000), time.Second)
+		a.mustSubmit("a", "job", c.queue, newRequest(3, 4_000), time.Second)
 		delete(a.terms, "a")
 		a.applyTerms()
 		time.Sleep(500 * time.Millisecond)
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -14,13 +14,13 @@
 	// into calls that run in parallel, so that the first tickets are still valid when the
 	// last ones arrive.
 	maxAdviceWorkers = 400
-	// adviceCall is the maximum number of workers in one call.
-	adviceCall = 100
+	// maxWorkersPerCall is the maximum number of workers in one call.
+	maxWorkersPerCall = 100
 	// maxCallCostFactor limits the per-worker cost of a call, as a multiple of its fixed cost.
 	maxCallCostFactor = 1.2
-	// adviceLeast is the minimum number of workers in a call, if that many have free
+	// minWorkersPerCall is the minimum number of workers in a call, if that many have free
 	// capacity. Below it, the fixed cost of a call dominates.
-	adviceLeast = 24
+	minWorkersPerCall = 24
 	// adviceCapacityFactor is how much free capacity to ask about, as a multiple of what a
 	// step needs: other steps may use some of it before the answer arrives.
 	adviceCapacityFactor = 1.5
@@ -29,20 +29,20 @@
 	// expectedStartDelay is the usual delay from a placement decision until the start reaches
 	// the worker.
 	expectedStartDelay = 40 * time.Millisecond
-	// checkAgain and otherRecheckInterval are the delays before a step that had no workers to
+	// urgentRecheckInterval and otherRecheckInterval are the delays before a step that had no workers to
 	// ask about is examined again. The shorter one applies to the urgentSteps most urgent
 	// steps, which are placed first.
-	checkAgain           = 40 * time.Millisecond
-	otherRecheckInterval = 160 * time.Millisecond
-	urgentSteps          = 32
-	// firstHealthy is the assumed share of eligible workers before the first answer for a
+	urgentRecheckInterval = 40 * time.Millisecond
+	otherRecheckInterval  = 160 * time.Millisecond
+	urgentSteps           = 32
+	// initialEligibleShare is the assumed share of eligible workers before the first answer for a
 	// queue, and eligibleShareWeight the weight of the newest answer in the moving average.
-	firstHealthy        = 0.5
-	eligibleShareWeight = 0.1
+	initialEligibleShare = 0.5
+	eligibleShareWeight  = 0.1
 )
 
-// options calls f for each worker that the step may run on now, regardless of free capacity.
-func (st *step) options(p *pass, f func(*worker)) {
+// eachEligibleWorker calls f for each worker that the step may run on now, regardless of free capacity.
+func (st *step) eachEligibleWorker(p *pass, f func(*worker)) {
 	if !st.job.record.Queue.Advice.Needed() {
 		for _, w := range p.pools[st.job.record.Queue.Service] {
 			f(w)
@@ -51,7 +51,7 @@
 	}
 	expectedStart := p.now.Add(expectedStartDelay)
 	for _, ticket := range st.advice.tickets {
-		if ticket.worker.usableIn == p.serial && ticket.validAt(expectedStart) {
+		if ticket.worker.usableSerial == p.serial && ticket.validAt(expectedStart) {
 			f(ticket.worker)
 		}
 	}
@@ -60,40 +60,40 @@
 // workersPerCall returns the maximum number of workers in one call under the policy.
 func workersPerCall(policy workload.AdvicePolicy) int {
 	if policy.Each <= 0 {
-		return adviceCall
+		return maxWorkersPerCall
 	}
 	count := int(maxCallCostFactor * float64(policy.Decision) / float64(policy.Each))
-	return max(adviceLeast, min(count, adviceCall))
+	return max(minWorkersPerCall, min(count, maxWorkersPerCall))
 }
 
-// checkAfter returns the delay before the step at a position in the urgency order is
+// recheckInterval returns the delay before the step at a position in the urgency order is
 // examined again.
-func checkAfter(position int) time.Duration {
+func recheckInterval(position int) time.Duration {
 	if position < urgentSteps {
-		return checkAgain
+		return urgentRecheckInterval
 	}
 	return otherRecheckInterval
 }
 
-// askAdvice requests tickets for the tasks of a step that could not be placed. It does
+// requestAdvice requests tickets for the tasks of a step that could not be placed. It does
 // nothing if the step needs no advice, a call is in flight, or no node can take a call. If
 // no worker is worth asking about, the step is examined again after the given delay. The
 // caller holds the lock.
-func (s *Scheduler) askAdvice(p *pass, c candidate, recheckDelay time.Duration) {
+func (s *Scheduler) requestAdvice(p *pass, c candidate, recheckDelay time.Duration) {
 	st := c.step
 	a, policy := &st.advice, st.job.record.Queue.Advice
 	if !policy.Needed() || a.callsInFlight > 0 || p.now.Before(a.nextCheck) || s.chooseAdviceNode(policy.Cost(1), p.now) == nil {
 		return
 	}
-	if c.tasks = c.waiting(); len(c.tasks) == 0 {
+	if c.tasks = c.placeableTasks(); len(c.tasks) == 0 {
 		return
 	}
-	named := s.question(p, c)
+	named := s.workersToAsk(p, c)
 	if len(named) == 0 {
 		a.nextCheck = p.now.Add(recheckDelay)
 		return
 	}
-	for part := range slices.Chunk(p.fillUp(st, named), workersPerCall(policy)) {
+	for part := range slices.Chunk(p.fillCall(st, named), workersPerCall(policy)) {
 		if !s.startAdviceCall(st, part, p.now) {
 			return
 		}
@@ -119,9 +119,9 @@
 
 // capacitySurvey is the free capacity that a step's waiting tasks could use.
 type capacitySurvey struct {
-	validSlots int     // slots on workers whose ticket is valid for long enough
-	expired    []share // eligible workers that need a new ticket
-	unasked    []share // workers not asked about yet
+	validSlots int           // slots on workers whose ticket is valid for long enough
+	expired    []workerSlots // eligible workers that need a new ticket
+	unasked    []workerSlots // workers not asked about yet
 }
 
 // surveyCapacity counts the slots for a step on workers known to be eligible, and collects
@@ -129,13 +129,13 @@
 // for every waiting step is expensive (see BenchmarkOwner).
 func (s *Scheduler) surveyCapacity(p *pass, c candidate) capacitySurvey {
 	st := c.step
-	validUntil := p.now.Add(st.job.record.Queue.Advice.Cost(adviceLeast) + ticketMargin)
+	validUntil := p.now.Add(st.job.record.Queue.Advice.Cost(minWorkersPerCall) + ticketMargin)
 	if !st.spec.Gang {
 		validUntil = p.now.Add(expectedStartDelay)
 	}
 	var survey capacitySurvey
 	for _, ticket := range st.advice.tickets {
-		if ticket.worker.usableIn != p.serial {
+		if ticket.worker.usableSerial != p.serial {
 			continue
 		}
 		slots := p.obtainableSlots(c, ticket.worker)
@@ -144,7 +144,7 @@
 		case ticket.validAt(validUntil):
 			survey.validSlots += slots
 		default:
-			survey.expired = append(survey.expired, share{worker: ticket.worker, tasks: slots})
+			survey.expired = append(survey.expired, workerSlots{worker: ticket.worker, slots: slots})
 		}
 	}
 	if survey.validSlots < len(c.tasks) {
@@ -175,14 +175,14 @@
 // unaskedWorkers returns workers not asked about yet that could take tasks of the step, in
 // order of descending free CPU, until they have enough capacity. The result shares a buffer
 // and is valid until the next call.
-func (s *Scheduler) unaskedWorkers(p *pass, c candidate) []share {
+func (s *Scheduler) unaskedWorkers(p *pass, c candidate) []workerSlots {
 	st := c.step
 	target := unaskedCapacityFactor * float64(len(c.tasks)) / s.eligibleShare(st.job.record.Queue.Name)
 	need := st.need().CPU
-	unasked := s.freshBuffer[:0]
+	unasked := s.unaskedBuffer[:0]
 	totalSlots, withoutCPU := 0, 0
 	for _, w := range p.pools[st.job.record.Queue.Service] {
-		if float64(totalSlots) >= target && len(unasked) >= adviceLeast {
+		if float64(totalSlots) >= target && len(unasked) >= minWorkersPerCall {
 			break
 		}
 		if w.free().CPU < need {
@@ -194,18 +194,18 @@
 			continue
 		}
 		if slots := p.obtainableSlots(c, w); slots > 0 {
-			unasked = append(unasked, share{worker: w, tasks: slots})
+			unasked = append(unasked, workerSlots{worker: w, slots: slots})
 			totalSlots += slots
 		}
 	}
-	s.freshBuffer = unasked
+	s.unaskedBuffer = unasked
 	return unasked
 }
 
-// question returns the workers to ask about for the step's waiting tasks. Workers without
+// workersToAsk returns the workers to ask about for the step's waiting tasks. Workers without
 // free capacity are left out, since their tickets would expire unused. The exception is a
 // gang that fits nowhere yet: it first learns which workers it could wait for.
-func (s *Scheduler) question(p *pass, c candidate) []*worker {
+func (s *Scheduler) workersToAsk(p *pass, c candidate) []*worker {
 	st, tasks := c.step, len(c.tasks)
 	survey := s.surveyCapacity(p, c)
 	eligibleShare := s.eligibleShare(st.job.record.Queue.Name)
@@ -230,10 +230,10 @@
 	return named
 }
 
-// fillUp adds workers to an expensive call that names few, since most of its cost is fixed and
+// fillCall adds workers to an expensive call that names few, since most of its cost is fixed and
 // workers may gain capacity while their tickets are valid. Eligible workers that need a new
 // ticket come first, then workers not asked about yet, by free CPU.
-func (p *pass) fillUp(st *step, named []*worker) []*worker {
+func (p *pass) fillCall(st *step, named []*worker) []*worker {
 	policy := st.job.record.Queue.Advice
 	limit := workersPerCall(policy)
 	if policy.Decision <= maxCheapCost || len(named) >= limit {
@@ -244,7 +244,7 @@
 		chosen[w] = true
 	}
 	add := func(w *worker) {
-		if len(named) < limit && !chosen[w] && w.usableIn == p.serial && st.allows(w) {
+		if len(named) < limit && !chosen[w] && w.usableSerial == p.serial && st.allows(w) {
 			named = append(named, w)
 		}
 	}
@@ -268,23 +268,23 @@
 // selectWorkers appends to named the workers with the most slots until they provide what is
 // wanted, and returns what is still missing. If some of them may turn out ineligible
 // (eligibleShare < 1), it names at least the minimum for one call.
-func selectWorkers(named []*worker, list []share, wanted, eligibleShare float64) ([]*worker, float64) {
-	slices.SortFunc(list, func(a, b share) int {
-		if a.tasks != b.tasks {
-			return b.tasks - a.tasks
+func selectWorkers(named []*worker, list []workerSlots, wanted, eligibleShare float64) ([]*worker, float64) {
+	slices.SortFunc(list, func(a, b workerSlots) int {
+		if a.slots != b.slots {
+			return b.slots - a.slots
 		}
 		return int(b.worker.free().CPU - a.worker.free().CPU)
 	})
 	minimum := 0
 	if eligibleShare < 1 {
-		minimum = adviceLeast
+		minimum = minWorkersPerCall
 	}
 	for _, r := range list {
 		if wanted <= 0 && len(named) >= minimum || len(named) == maxAdviceWorkers {
 			break
 		}
 		named = append(named, r.worker)
-		wanted -= eligibleShare * float64(r.tasks)
+		wanted -= eligibleShare * float64(r.slots)
 	}
 	return named, wanted
 }
@@ -298,7 +298,7 @@
 func (st *step) eligibleSlots() int {
 	total := 0
 	for _, ticket := range st.advice.tickets {
-		if !ticket.worker.over {
+		if !ticket.worker.ended {
 			total += st.fitCount(ticket.worker.info.Capacity, ticket.worker)
 		}
 	}
@@ -321,15 +321,15 @@
 // eligibleShare returns the share of workers that may run a step of the queue, as estimated
 // from earlier answers.
 func (s *Scheduler) eligibleShare(queue string) float64 {
-	if share, ok := s.healthy[queue]; ok {
+	if share, ok := s.eligibleShares[queue]; ok {
 		return share
 	}
-	return firstHealthy
+	return initialEligibleShare
 }
 
-func (s *Scheduler) fetchAdvice(st *step, l *lane, advisor fleet.Advisor, name string, named []*worker, cost time.Duration) {
+func (s *Scheduler) fetchAdvice(st *step, l *adviceNode, advisor fleet.Advisor, name string, named []*worker, cost time.Duration) {
 	s.mu.Lock()
-	limit := l.timeout(cost) + s.patience()
+	limit := l.timeout(cost) + s.latenessAllowance()
 	ids := make([]string, 0, len(named))
 	for _, w := range named {
 		ids = append(ids, w.info.ID)
@@ -359,11 +359,11 @@
 // recordAdvice stores an answer and updates the queue's share of eligible workers. The caller
 // holds the lock.
 func (s *Scheduler) recordAdvice(st *step, named []*worker, advice fleet.Advice, now time.Time) {
-	asked, healthy := st.advice.take(named, advice, now)
-	st.tried = 0
+	asked, healthy := st.advice.recordAnswer(named, advice, now)
+	st.lastFullPass = 0
 	if asked > 0 {
 		queue := st.job.record.Queue.Name
 		share := s.eligibleShare(queue)
-		s.healthy[queue] = share + (float64(healthy)/float64(asked)-share)*eligibleShareWeight
+		s.eligibleShares[queue] = share + (float64(healthy)/float64(asked)-share)*eligibleShareWeight
 	}
 }
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -21,14 +21,14 @@
 // pass over them, and a step of three tasks without any advice.
 func newAdvisedStep(t testing.TB, used func(i int) resource.Amount) (*Scheduler, *pass, candidate) {
 	t.Helper()
-	s := newBenchScheduler(t)
+	s := newTestScheduler(t)
 	now := time.Now()
 	for i := range 1100 {
 		w := newWorker(fleet.Worker{Life: fleet.Life{ID: fmt.Sprintf("w-%04d", i)}, Service: "s", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30}})
-		w.known, w.contact, w.used = true, now, used(i)
+		w.discovered, w.lastReportAt, w.used = true, now, used(i)
 		s.workers[w.info.Life] = w
 	}
-	p := newPass(now, 1, false, defaultTimes, evacuation.View{})
+	p := newPass(now, 1, false, defaultWorkerTimes, evacuation.View{})
 	for _, w := range s.workers {
 		p.add(w)
 	}
@@ -37,7 +37,7 @@
 	steps := []workload.Step{{Count: 3, Need: resource.Amount{CPU: 2500}, Estimate: time.Second}}
 	j := newJob("00000000000000a0", workload.Record{Request: workload.Request{Steps: steps}, Queue: queue, Accepted: now.UnixMilli()}, newAccountState(account.Terms{}), now)
 	st := j.rounds[0].steps[0]
-	return s, p, candidate{step: st, tasks: st.waiting(), allowed: math.MaxInt, urgency: urgency.Verdict{Rank: urgency.InTime, Pressed: true}, deadline: j.deadline}
+	return s, p, candidate{step: st, tasks: st.placeableTasks(), quotaAllowance: math.MaxInt, urgency: urgency.Verdict{Rank: urgency.InTime, Pressed: true}, deadline: j.deadline}
 }
 
 func assertQueried(t *testing.T, workers []*worker, least, most int, fits func(*worker) bool) {
@@ -57,7 +57,7 @@
 	anyWorker := func(*worker) bool { return true }
 	t.Run("all idle", func(t *testing.T) {
 		s, p, c := newAdvisedStep(t, func(int) resource.Amount { return resource.Amount{} })
-		assertQueried(t, s.question(p, c), adviceLeast, adviceLeast, anyWorker)
+		assertQueried(t, s.workersToAsk(p, c), minWorkersPerCall, minWorkersPerCall, anyWorker)
 	})
 	t.Run("some idle", func(t *testing.T) {
 		s, p, c := newAdvisedStep(t, func(i int) resource.Amount {
@@ -66,7 +66,7 @@
 			}
 			return resource.Amount{CPU: 10_000}
 		})
-		assertQueried(t, s.question(p, c), adviceLeast, adviceLeast, func(w *worker) bool { return w.used.IsZero() })
+		assertQueried(t, s.workersToAsk(p, c), minWorkersPerCall, minWorkersPerCall, func(w *worker) bool { return w.used.IsZero() })
 	})
 	t.Run("few with capacity", func(t *testing.T) {
 		s, p, c := newAdvisedStep(t, func(i int) resource.Amount {
@@ -75,11 +75,11 @@
 			}
 			return resource.Amount{CPU: 15_000}
 		})
-		assertQueried(t, s.question(p, c), 4, 4, func(w *worker) bool { return w.free().CPU >= 2500 })
+		assertQueried(t, s.workersToAsk(p, c), 4, 4, func(w *worker) bool { return w.free().CPU >= 2500 })
 	})
 	t.Run("none with capacity", func(t *testing.T) {
 		s, p, c := newAdvisedStep(t, func(int) resource.Amount { return resource.Amount{CPU: 15_000} })
-		assertQueried(t, s.question(p, c), 0, 0, anyWorker)
+		assertQueried(t, s.workersToAsk(p, c), 0, 0, anyWorker)
 	})
 	t.Run("workers without free memory are skipped", func(t *testing.T) {
 		s, p, c := newAdvisedStep(t, func(i int) resource.Amount {
@@ -89,7 +89,7 @@
 			return resource.Amount{CPU: 4000}
 		})
 		c.step.spec.Need.Memory = 1 << 30
-		assertQueried(t, s.question(p, c), adviceLeast, adviceLeast, func(w *worker) bool { return w.used.Memory == 0 })
+		assertQueried(t, s.workersToAsk(p, c), minWorkersPerCall, minWorkersPerCall, func(w *worker) bool { return w.used.Memory == 0 })
 	})
 }
 
@@ -113,16 +113,16 @@
 			for _, w := range pool[:20] {
 				tickets[w.info.ID] = "old"
 			}
-			c.step.advice.take(pool[:20], fleet.Advice{Tickets: tickets}, p.now.Add(-time.Second))
-			queried := p.fillUp(c.step, pool[:1])
+			c.step.advice.recordAnswer(pool[:20], fleet.Advice{Tickets: tickets}, p.now.Add(-time.Second))
+			queried := p.fillCall(c.step, pool[:1])
 			expired := 0
 			for _, w := range queried {
-				if c.step.advice.at[w] != nil {
+				if c.step.advice.byWorker[w] != nil {
 					expired++
 				}
 			}
-			if len(queried) < test.least || len(queried) > adviceCall || expired != test.expired {
-				t.Errorf("%d workers queried, %d with an expired ticket; want at least %d and at most %d, and %d", len(queried), expired, test.least, adviceCall, test.expired)
+			if len(queried) < test.least || len(queried) > maxWorkersPerCall || expired != test.expired {
+				t.Errorf("%d workers queried, %d with an expired ticket; want at least %d and at most %d, and %d", len(queried), expired, test.least, maxWorkersPerCall, test.expired)
 			}
 			seen := map[*worker]bool{}
 			for _, w := range queried {
@@ -156,11 +156,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s.ctx = ctx
 		var advisor hangingAdvisor
-		lanes := []Lane{{Node: "self", Self: true, Advisor: &advisor}}
+		lanes := []AdviceNode{{Node: "self", Self: true, Advisor: &advisor}}
 		for i := range 40 {
-			lanes = append(lanes, Lane{Node: fmt.Sprintf("node-%d", i), Advisor: &advisor})
+			lanes = append(lanes, AdviceNode{Node: fmt.Sprintf("node-%d", i), Advisor: &advisor})
 		}
-		s.SetLanes(lanes)
+		s.SetAdviceNodes(lanes)
 		st := c.step
 		st.spec.Gang, st.spec.Count = true, 240
 		for i := len(st.tasks); i < st.spec.Count; i++ {
@@ -168,17 +168,17 @@
 		}
 		st.job.record.Queue.Advice = workload.AdvicePolicy{Decision: 390 * time.Millisecond, Each: 5600 * time.Microsecond, Valid: 2 * time.Second}
 		s.mu.Lock()
-		s.askAdvice(p, c, checkAgain)
+		s.requestAdvice(p, c, urgentRecheckInterval)
 		s.mu.Unlock()
 		synctest.Wait()
 		capacity := 0
 		for _, workers := range advisor.calls {
-			if len(workers) > adviceCall {
-				t.Errorf("advice call queries %d workers, want at most %d", len(workers), adviceCall)
+			if len(workers) > maxWorkersPerCall {
+				t.Errorf("advice call queries %d workers, want at most %d", len(workers), maxWorkersPerCall)
 			}
 			capacity += 3 * len(workers) // three tasks fit into the free half of a worker
 		}
-		if want := int(float64(st.spec.Count) / firstHealthy); capacity < want {
+		if want := int(float64(st.spec.Count) / initialEligibleShare); capacity < want {
 			t.Errorf("%d advice calls query capacity for %d tasks, want %d", len(advisor.calls), capacity, want)
 		}
 		cancel()
@@ -191,6 +191,6 @@
 	s, p, c := newAdvisedStep(b, func(int) resource.Amount { return resource.Amount{CPU: 15_000} })
 	b.ReportAllocs()
 	for b.Loop() {
-		s.question(p, c)
+		s.workersToAsk(p, c)
 	}
 }
--- a/scheduler/answers.go
+++ b/scheduler/answers.go
@@ -5,8 +5,8 @@
 const (
 	// Bounds of the time after which an unanswered order is sent again. The minimum allows for an
 	// owner that reads answers late because it is short of processor time.
-	leastLimit = 60 * time.Millisecond
-	mostLimit  = 250 * time.Millisecond
+	minCallTimeout = 60 * time.Millisecond
+	maxCallTimeout = 250 * time.Millisecond
 	// The timeout is the mean latency plus deviationFactor times the mean deviation, as in RFC
 	// 6298.
 	meanWeight      = 1.0 / 8
@@ -20,18 +20,18 @@
 	lossyClearThreshold = 0.004
 )
 
-// answers tracks the latency and the loss rate of calls. Only calls to workers that answered the
+// callStats tracks the latency and the loss rate of calls. Only calls to workers that answered the
 // previous one count as lost.
-type answers struct {
+type callStats struct {
 	measured  bool
 	mean      time.Duration
 	deviation time.Duration
-	loss      float64
+	lossRate  float64
 	lossy     bool
 }
 
-// took adds a latency sample of an order.
-func (a *answers) took(d time.Duration) {
+// addLatency adds a latency sample of an order.
+func (a *callStats) addLatency(d time.Duration) {
 	if !a.measured {
 		a.measured, a.mean, a.deviation = true, d, d/2
 		return
@@ -41,26 +41,26 @@
 	a.mean += time.Duration(meanWeight * float64(d-a.mean))
 }
 
-// limit returns the timeout of an order.
-func (a *answers) limit() time.Duration {
+// timeout returns the timeout of an order.
+func (a *callStats) timeout() time.Duration {
 	if !a.measured {
-		return mostLimit
+		return maxCallTimeout
 	}
-	return min(mostLimit, max(leastLimit, a.mean+deviationFactor*a.deviation))
+	return min(maxCallTimeout, max(minCallTimeout, a.mean+deviationFactor*a.deviation))
 }
 
-// came records whether a call was answered by a worker that answered the previous one. It reports
+// addResult records whether a call was answered by a worker that answered the previous one. It reports
 // whether lossy has changed.
-func (a *answers) came(answered bool) bool {
+func (a *callStats) addResult(answered bool) bool {
 	wasLossy := a.lossy
-	a.loss *= 1 - lossWeight
+	a.lossRate *= 1 - lossWeight
 	if !answered {
-		a.loss += lossWeight
+		a.lossRate += lossWeight
 	}
 	switch {
-	case a.loss >= lossyThreshold:
+	case a.lossRate >= lossyThreshold:
 		a.lossy = true
-	case a.loss < lossyClearThreshold:
+	case a.lossRate < lossyClearThreshold:
 		a.lossy = false
 	}
 	return wasLossy != a.lossy
@@ -75,18 +75,18 @@
 	lateThreshold = 5 * time.Millisecond
 )
 
-// patience returns the extra timeout of calls while this process is late. Early retries would add
+// latenessAllowance returns the extra timeout of calls while this process is late. Early retries would add
 // to its load.
-func (s *Scheduler) patience() time.Duration { return latenessFactor * s.lateness() }
+func (s *Scheduler) latenessAllowance() time.Duration { return latenessFactor * s.lateness() }
 
-// noteAnswer records whether a call was answered by a worker that answered the previous one. The
+// recordCallResult records whether a call was answered by a worker that answered the previous one. The
 // caller must hold s.mu.
-func (s *Scheduler) noteAnswer(answered bool) {
+func (s *Scheduler) recordCallResult(answered bool) {
 	if !answered && s.lateness() > lateThreshold {
 		return
 	}
-	if s.answers.came(answered) {
-		s.log.Info().Bool("lossy", s.answers.lossy).Float64("loss", s.answers.loss).
-			Dur("limit", s.answers.limit()).Msg("share of calls to workers without answer")
+	if s.answers.addResult(answered) {
+		s.log.Info().Bool("lossy", s.answers.lossy).Float64("loss", s.answers.lossRate).
+			Dur("limit", s.answers.timeout()).Msg("share of calls to workers without answer")
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -40,7 +40,7 @@
 			for b.Loop() {
 				s.mu.Lock()
 				for _, w := range s.workers {
-					w.freed = true
+					w.roomFreed = true
 				}
 				s.dispatch(now)
 				s.mu.Unlock()
@@ -49,8 +49,8 @@
 	}
 }
 
-// newBenchScheduler returns a scheduler that owns an empty shard.
-func newBenchScheduler(tb testing.TB) *Scheduler {
+// newTestScheduler returns a scheduler that owns an empty shard.
+func newTestScheduler(tb testing.TB) *Scheduler {
 	tb.Helper()
 	store := memory.New()
 	sighting, err := leadership.Look(tb.Context(), store, "main")
@@ -68,13 +68,13 @@
 
 // newBacklogScheduler returns a scheduler with 350 full workers and a number of waiting jobs.
 func newBacklogScheduler(b *testing.B, jobs int) (*Scheduler, time.Time) {
-	s := newBenchScheduler(b)
+	s := newTestScheduler(b)
 	now := time.Now()
 	advice := fleet.Advice{Tickets: map[string]string{}, Valid: time.Hour}
 	var workers []*worker
 	for i := range 350 {
 		w := newWorker(fleet.Worker{Life: fleet.Life{ID: fmt.Sprintf("w-%03d", i)}, Service: "s", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30}})
-		w.known, w.contact, w.used = true, now.Add(time.Hour), resource.Amount{CPU: 15_500}
+		w.discovered, w.lastReportAt, w.used = true, now.Add(time.Hour), resource.Amount{CPU: 15_500}
 		s.workers[w.info.Life] = w
 		workers = append(workers, w)
 		if i%3 != 0 {
@@ -85,7 +85,7 @@
 	for i := range jobs {
 		steps := []workload.Step{{Count: 3, Need: resource.Amount{CPU: 2500}, Estimate: time.Second}}
 		j := newJob(fmt.Sprintf("%016x", i), workload.Record{Request: workload.Request{Steps: steps}, Queue: queue, Accepted: now.UnixMilli()}, newAccountState(account.Terms{}), now)
-		j.rounds[0].steps[0].advice.take(workers, advice, now)
+		j.rounds[0].steps[0].advice.recordAnswer(workers, advice, now)
 		s.jobs[j.id], s.active[j.id] = j, j
 	}
 	return s, now
--- a/scheduler/bundle.go
+++ b/scheduler/bundle.go
@@ -20,12 +20,12 @@
 	// the total size after which a transaction takes no more jobs.
 	maxBundleBytes            = 48 << 10
 	maxTransactionBundleBytes = 600 << 10
-	// unbundleAtOnce is how many jobs are moved out of bundles after one transaction.
-	unbundleAtOnce = 32
+	// maxUnbundledJobs is how many jobs are moved out of bundles after one transaction.
+	maxUnbundledJobs = 32
 )
 
-// bundled is the entry of one job in a bundle.
-type bundled struct {
+// bundleEntry is the entry of one job in a bundle.
+type bundleEntry struct {
 	Job      string            `cbor:"1,keyasint"`
 	Record   *workload.Record  `cbor:"2,keyasint,omitempty"`
 	Progress workload.Progress `cbor:"3,keyasint"`
@@ -37,10 +37,10 @@
 	jobs map[string]*job
 }
 
-// takeBundles moves dirty jobs into bundles and returns the rows to write. Jobs whose rows are
+// bundleDirty moves dirty jobs into bundles and returns the rows to write. Jobs whose rows are
 // to be deleted, and those beyond the size limit, stay dirty.
-func (s *Scheduler) takeBundles() ([]written, []rowstore.Put) {
-	var batch []written
+func (s *Scheduler) bundleDirty() ([]jobWrite, []rowstore.Put) {
+	var batch []jobWrite
 	var puts []rowstore.Put
 	var rest []*job
 	var b *bundle
@@ -48,12 +48,12 @@
 	size, total := 0, 0
 	closeBundle := func() {
 		if b != nil {
-			puts = append(puts, rowstore.Put{Key: s.key(bundleTable, b.name), Value: codec.MustMarshal(entries)})
+			puts = append(puts, rowstore.Put{Key: s.rowKey(bundleTable, b.name), Value: codec.MustMarshal(entries)})
 		}
 		b, entries, size = nil, nil, 0
 	}
 	for _, j := range s.dirty {
-		if j.forgotten || total > maxTransactionBundleBytes {
+		if j.expired || total > maxTransactionBundleBytes {
 			rest = append(rest, j)
 			continue
 		}
@@ -64,7 +64,7 @@
 		entry := s.encodeBundleEntry(j)
 		entries = append(entries, entry)
 		size, total = size+len(entry), total+len(entry)
-		batch = append(batch, written{job: j, generation: j.generation, state: j.state, bundle: b})
+		batch = append(batch, jobWrite{job: j, generation: j.generation, state: j.state, bundle: b})
 		if size > maxBundleBytes {
 			closeBundle()
 		}
@@ -80,23 +80,23 @@
 }
 
 func (s *Scheduler) encodeBundleEntry(j *job) codec.Raw {
-	entry := bundled{Job: j.id, Progress: j.progress()}
+	entry := bundleEntry{Job: j.id, Progress: j.progress()}
 	if j.needsRecord() && !j.inserted {
 		entry.Record = &j.record
 	}
 	return codec.MustMarshal(entry)
 }
 
-// enterBundle records which bundle holds a job's latest row; nil means a row of its own. The
+// setBundle records which bundle holds a job's latest row; nil means a row of its own. The
 // caller holds the lock.
-func (s *Scheduler) enterBundle(j *job, b *bundle) {
+func (s *Scheduler) setBundle(j *job, b *bundle) {
 	if j.bundle != nil {
 		s.removeFromBundle(j, j.bundle)
 	}
-	for _, former := range j.inherited {
+	for _, former := range j.inheritedBundles {
 		s.removeFromBundle(j, former)
 	}
-	j.bundle, j.inherited = b, nil
+	j.bundle, j.inheritedBundles = b, nil
 	if b != nil {
 		b.jobs[j.id] = j
 		s.bundles[b.name] = b
@@ -107,31 +107,31 @@
 	delete(former.jobs, j.id)
 	if len(former.jobs) == 0 {
 		delete(s.bundles, former.name)
-		s.deadBundles = append(s.deadBundles, s.key(bundleTable, former.name))
+		s.obsoleteBundles = append(s.obsoleteBundles, s.rowKey(bundleTable, former.name))
 	}
 }
 
 // unbundle queues some bundled jobs to be written as rows of their own. The caller holds the
 // lock.
 func (s *Scheduler) unbundle() {
-	left := unbundleAtOnce
+	left := maxUnbundledJobs
 	for _, b := range s.bundles {
 		for _, j := range b.jobs {
 			if left == 0 {
 				return
 			}
 			left--
-			s.change(j)
+			s.markDirty(j)
 		}
 	}
 }
 
-// bundledRows decodes bundles and returns the entry with the latest progress of each job. An
+// latestBundleEntries decodes bundles and returns the entry with the latest progress of each job. An
 // entry that has no record gets the one of another entry for the job.
-func (s *Scheduler) bundledRows(rows []rowstore.Row) (map[string]bundled, error) {
-	latest := map[string]bundled{}
+func (s *Scheduler) latestBundleEntries(rows []rowstore.Row) (map[string]bundleEntry, error) {
+	latest := map[string]bundleEntry{}
 	for _, row := range rows {
-		var entries []bundled
+		var entries []bundleEntry
 		if err := codec.Unmarshal(row.Value, &entries); err != nil {
 			return nil, &BundleError{row.Name, err}
 		}
--- a/scheduler/bundle_test.go
+++ b/scheduler/bundle_test.go
@@ -29,15 +29,15 @@
 	}{{"one owner", false}, {"owner killed", true}}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 40, func(c *cell) {
-				o := c.rule()
+			withCell(t, 40, func(c *cell) {
+				o := c.startOwner()
 				slow := func(bool) memory.Fault { return memory.Fault{Slow: 400 * time.Millisecond} }
 				o.caller.SetFault(slow)
 				accepted := make(chan string, jobs)
 				for i := range jobs {
 					id := fmt.Sprintf("job-%03d", i)
 					go func() {
-						if c.submit(o, id, jobOf(2, 1000), work(300*time.Millisecond)) == nil {
+						if c.submit(o, id, newRequest(2, 1000), succeedAfter(300*time.Millisecond)) == nil {
 							accepted <- id
 						}
 					}()
@@ -48,7 +48,7 @@
 				}
 				if test.failover {
 					o.kill()
-					o = c.rule()
+					o = c.startOwner()
 				} else {
 					time.Sleep(2 * time.Second)
 					o.caller.SetFault(nil)
@@ -58,7 +58,7 @@
 				count := 0
 				for id := range accepted {
 					count++
-					c.await(o, id, workload.Completed, 30*time.Second)
+					c.awaitState(o, id, workload.Completed, 30*time.Second)
 				}
 				if count < jobs/2 {
 					t.Errorf("%d of %d jobs accepted, want at least half", count, jobs)
@@ -76,11 +76,11 @@
 // unbounded number of them.
 func TestBundlesRemovedUnderLoad(t *testing.T) {
 	const jobs = 300
-	inCell(t, 60, func(c *cell) {
-		o := c.rule()
+	withCell(t, 60, func(c *cell) {
+		o := c.startOwner()
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 400 * time.Millisecond} })
 		submit := func(id string) {
-			go c.submit(o, id, jobOf(2, 1000), work(300*time.Millisecond))
+			go c.submit(o, id, newRequest(2, 1000), succeedAfter(300*time.Millisecond))
 		}
 		for i := range jobs {
 			submit(fmt.Sprintf("early-%03d", i))
--- a/scheduler/burst_test.go
+++ b/scheduler/burst_test.go
@@ -61,10 +61,10 @@
 // runMixedLoad generates the load for a time span on 40 workers and returns its results.
 func runMixedLoad(t *testing.T, seed uint64, span time.Duration) (m *mixedLoad) {
 	t.Helper()
-	inCell(t, 0, func(c *cell) {
+	withCell(t, 0, func(c *cell) {
 		c.addLargeWorkers(40)
 		c.lease = shortLease
-		m = &mixedLoad{cell: c, random: rand.New(rand.NewPCG(seed, 4)), owner: c.rule()}
+		m = &mixedLoad{cell: c, random: rand.New(rand.NewPCG(seed, 4)), owner: c.startOwner()}
 		c.fleet.SetFault(func(call fleettest.Call, _ string) fleettest.Fault {
 			m.mu.Lock()
 			defer m.mu.Unlock()
@@ -116,7 +116,7 @@
 	m.submitToQueue(m.owner, queue, id, request, work)
 	submittedAt, objective := time.Now(), time.Duration(queue.Stretch*float64(work))+queue.Target
 	m.pending.Go(func() {
-		m.failedOf(m.owner, id)
+		m.awaitFinal(m.owner, id)
 		m.record(kind, time.Since(submittedAt) <= objective)
 	})
 }
--- a/scheduler/callgate.go
+++ b/scheduler/callgate.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// callGate limits concurrent calls and admits priority calls first. After a takeover all workers
+// callLimiter limits concurrent calls and admits priority calls first. After a takeover all workers
 // are called at once: callers wait for the results from the few with attempts, while idle workers
 // have nothing to report.
-type callGate struct {
+type callLimiter struct {
 	mu       sync.Mutex
 	free     int
 	priority []callSlot // waiting calls, admitted first
@@ -20,10 +20,10 @@
 // callSlot is closed when a call is admitted.
 type callSlot chan struct{}
 
-func newCallGate(calls int) *callGate { return &callGate{free: calls} }
+func newCallLimiter(calls int) *callLimiter { return &callLimiter{free: calls} }
 
 // enqueue requests a slot, on which the caller must call acquire.
-func (g *callGate) enqueue(priority bool) callSlot {
+func (g *callLimiter) enqueue(priority bool) callSlot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	slot := make(callSlot)
@@ -41,7 +41,7 @@
 
 // acquire waits until the call is admitted; the caller must then release its slot. If ctx ends
 // first, the request is cancelled.
-func (g *callGate) acquire(ctx context.Context, slot callSlot) error {
+func (g *callLimiter) acquire(ctx context.Context, slot callSlot) error {
 	select {
 	case <-slot:
 		return nil
@@ -52,7 +52,7 @@
 }
 
 // cancel withdraws a request, and releases its slot if the call was admitted in the meantime.
-func (g *callGate) cancel(slot callSlot) {
+func (g *callLimiter) cancel(slot callSlot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	same := func(other callSlot) bool { return other == slot }
@@ -64,7 +64,7 @@
 }
 
 // releaseAfter releases a slot after the given time, or when the returned function is called.
-func (g *callGate) releaseAfter(limit time.Duration) func() {
+func (g *callLimiter) releaseAfter(limit time.Duration) func() {
 	release := sync.OnceFunc(func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -79,7 +79,7 @@
 
 // grantNext admits the next waiting call, or frees the slot if there is none. The caller must hold
 // g.mu.
-func (g *callGate) grantNext() {
+func (g *callLimiter) grantNext() {
 	waiting := &g.priority
 	if len(*waiting) == 0 {
 		waiting = &g.normal
--- a/scheduler/calls.go
+++ b/scheduler/calls.go
@@ -9,19 +9,19 @@
 	"chutereach/workload"
 )
 
-// OverloadedError reports that a submission was rejected. The job will not run unless it
+// RejectedError reports that a submission was rejected. The job will not run unless it
 // is submitted again.
-type OverloadedError struct {
-	Why        string
+type RejectedError struct {
+	Reason     string
 	RetryAfter time.Duration
 }
 
-func (e *OverloadedError) Error() string { return "job not accepted: " + e.Why }
+func (e *RejectedError) Error() string { return "job not accepted: " + e.Reason }
 
-// NotJobError reports that no job has the ID, or that it belongs to another account.
-type NotJobError struct{ ID string }
+// UnknownJobError reports that no job has the ID, or that it belongs to another account.
+type UnknownJobError struct{ ID string }
 
-func (e *NotJobError) Error() string { return fmt.Sprintf("job %s not found", e.ID) }
+func (e *UnknownJobError) Error() string { return fmt.Sprintf("job %s not found", e.ID) }
 
 // UnconfirmedError reports that a change was not confirmed by the store in time. It may
 // still take effect.
@@ -48,20 +48,20 @@
 			return err
 		}
 		j = newJob(id, record, s.accountOf(record.Account), time.Now())
-		j.noteArrival()
+		j.countAgainstWeight()
 		s.jobs[id], s.active[id] = j, j
 		s.applyQueue(j)
-		s.noteDemand(j, j.arrived)
-		s.change(j)
+		s.recordGangDemand(j, j.arrived)
+		s.markDirty(j)
 		s.log.Info().Str("job", id).Str("queue", record.Queue.Name).Str("account", record.Account.Name).
-			Int("steps", len(record.Request.Steps)).Bool("beyond", j.beyond).Msg("accepted")
+			Int("steps", len(record.Request.Steps)).Bool("beyond", j.overShare).Msg("accepted")
 		s.metrics.admission("accepted")
 		wake(s.dispatchWake)
 	} else if !j.belongsTo(record.Account.Name) {
 		s.mu.Unlock()
 		s.log.Info().Str("job", id).Str("account", record.Account.Name).Msg("refused: another account's job has its id")
 		s.metrics.admission("refused")
-		return &OverloadedError{"job id " + id + " is in use", defaultRetryAfter}
+		return &RejectedError{"job id " + id + " is in use", defaultRetryAfter}
 	} else {
 		s.metrics.admission("known")
 	}
@@ -75,7 +75,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.withdrawIfLate(j, time.Now()) {
-			return &OverloadedError{(&StoreDownError{}).Error(), defaultRetryAfter}
+			return &RejectedError{(&StoreDownError{}).Error(), defaultRetryAfter}
 		}
 		return nil
 	}
@@ -105,11 +105,11 @@
 		return s.deposed
 	}
 	if s.storeIsDown() {
-		return &OverloadedError{(&StoreDownError{}).Error(), defaultRetryAfter}
+		return &RejectedError{(&StoreDownError{}).Error(), defaultRetryAfter}
 	}
 	a := s.accountOf(record.Account)
 	if err := checkQuota(record.Request, a.terms); err != nil {
-		a.refused++
+		a.rejectedJobs++
 		return err
 	}
 	return nil
@@ -136,7 +136,7 @@
 		return nil
 	}
 	done := make(chan struct{})
-	j.onceSaved(func() { close(done) })
+	j.onSaved(func() { close(done) })
 	runCtx := s.ctx
 	s.mu.Unlock()
 	if runCtx == nil {
@@ -184,7 +184,7 @@
 	j := s.jobs[id]
 	if j == nil || !j.belongsTo(account) {
 		s.mu.Unlock()
-		return &NotJobError{id}
+		return &UnknownJobError{id}
 	}
 	if !j.state.Final() {
 		s.finish(j, workload.Cancelled, "cancelled by its caller")
@@ -202,7 +202,7 @@
 		j = nil // hidden from other accounts
 	}
 	if j != nil && j.allRunning() {
-		ended := j.ended
+		ended := j.done
 		s.mu.Unlock()
 		timer := time.NewTimer(lastTasksWait)
 		select {
@@ -222,10 +222,10 @@
 	defer s.mu.Unlock()
 	switch {
 	case j == nil || j.saved == 0:
-		return "", &NotJobError{id}
+		return "", &UnknownJobError{id}
 	case j.savedState.Final():
 		return j.savedState, nil
-	case j.begun:
+	case j.started:
 		return workload.Running, nil
 	}
 	return workload.Queued, nil
@@ -245,7 +245,7 @@
 	defer s.mu.Unlock()
 	count := 0
 	for _, j := range s.active {
-		if j.record.Queue.Name == queue && !j.begun && !j.record.Request.Timed() && j.saved > 0 {
+		if j.record.Queue.Name == queue && !j.started && !j.record.Request.Timed() && j.saved > 0 {
 			count++
 		}
 	}
--- a/scheduler/cancel_late_test.go
+++ b/scheduler/cancel_late_test.go
@@ -16,7 +16,7 @@
 		faults     func(worker string) fleettest.Fault // injected into calls other than starts
 		afterStart func(c *cell, o *owner) *owner
 	}{
-		{"start executed late", func(string) fleettest.Fault { return fleettest.Fault{} }, undisturbed},
+		{"start executed late", func(string) fleettest.Fault { return fleettest.Fault{} }, keepOwner},
 		{"owner replaced", func(string) fleettest.Fault { return fleettest.Fault{} }, replaceOwner},
 		{"owner replaced, successor cannot reach the worker", func(string) fleettest.Fault {
 			return fleettest.Fault{Lost: true}
@@ -24,9 +24,9 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 3, func(c *cell) {
+			withCell(t, 3, func(c *cell) {
 				c.lease = shortLease
-				o := c.rule()
+				o := c.startOwner()
 				time.Sleep(500 * time.Millisecond)
 				c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
 					if call == fleettest.CallStart {
@@ -34,7 +34,7 @@
 					}
 					return test.faults(worker)
 				})
-				if err := c.submit(o, "job", jobOf(4, 2000), work(time.Hour)); err != nil {
+				if err := c.submit(o, "job", newRequest(4, 2000), succeedAfter(time.Hour)); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(100 * time.Millisecond) // the starts are in flight
@@ -56,5 +56,5 @@
 // replaceOwner kills an owner and starts its successor.
 func replaceOwner(c *cell, o *owner) *owner {
 	o.kill()
-	return c.rule()
+	return c.startOwner()
 }
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -20,27 +20,27 @@
 // A worker that shrinks while grants are being written starts no more tasks than it now has
 // capacity for.
 func TestWorkerShrinksDuringGrant(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
-		o := c.rule()
+	withCell(t, 1, func(c *cell) {
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 1100 * time.Millisecond} })
-		if err := c.submitWithoutTimeout(o, "job", jobOf(2, 8_000)); err != nil {
+		if err := c.submitWithoutTimeout(o, "job", newRequest(2, 8_000)); err != nil {
 			t.Fatal(err)
 		}
 		c.fleet.Resize("w-00", halfCapacity)
 		time.Sleep(3 * time.Second)
 		o.caller.SetFault(nil)
-		c.await(o, "job", workload.Completed, 20*time.Second)
+		c.awaitState(o, "job", workload.Completed, 20*time.Second)
 	})
 }
 
 // Added capacity of a worker is used as soon as discovery reports it.
 func TestWorkerGrows(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
+	withCell(t, 1, func(c *cell) {
 		c.fleet.Resize("w-00", halfCapacity)
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(2 * time.Second)
-		if err := c.submit(o, "job", jobOf(2, 8_000), work(5*time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(2, 8_000), succeedAfter(5*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, time.Second)
@@ -55,7 +55,7 @@
 func TestCapacityRandomOrder(t *testing.T) {
 	const sequences = 1000
 	forSeeds(t, sequences, func(t *testing.T, seed uint64) {
-		inCell(t, 3, func(c *cell) { c.runRandomResizes(rand.New(rand.NewPCG(seed, 3))) })
+		withCell(t, 3, func(c *cell) { c.runRandomResizes(rand.New(rand.NewPCG(seed, 3))) })
 	})
 }
 
@@ -73,7 +73,7 @@
 }
 
 func (c *cell) runRandomResizes(random *rand.Rand) {
-	o := c.rule()
+	o := c.startOwner()
 	time.Sleep(500 * time.Millisecond)
 	for i := range 12 {
 		switch random.IntN(6) {
@@ -82,14 +82,14 @@
 			c.fleet.Resize(fmt.Sprintf("w-%02d", random.IntN(3)), size)
 		case 2:
 			o.kill()
-			o = c.rule()
+			o = c.startOwner()
 		case 3:
 			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 300 * time.Millisecond} })
 		case 4:
 			o.caller.SetFault(nil)
 		}
 		name := fmt.Sprintf("job-%d", i)
-		request := jobOf(1+random.IntN(4), resource.MilliCPU(1000+random.IntN(7000)))
+		request := newRequest(1+random.IntN(4), resource.MilliCPU(1000+random.IntN(7000)))
 		request.Steps[0].Gang = random.IntN(4) == 0
 		if err := c.submitWithoutTimeout(o, name, request); err != nil {
 			c.t.Errorf("job %s: %v", name, err)
@@ -105,6 +105,6 @@
 
 // submitWithoutTimeout submits a job and waits for the store without a time limit.
 func (c *cell) submitWithoutTimeout(o *owner, id string, request workload.Request) error {
-	c.know(id, request, work(700*time.Millisecond))
+	c.registerJob(id, request, succeedAfter(700*time.Millisecond))
 	return o.Submit(c.ctx, id, workload.Record{Request: request, Queue: c.queue, Accepted: time.Now().UnixMilli()})
 }
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -68,8 +68,8 @@
 	return c.extendedAt
 }
 
-// cutOff blocks this owner's calls to a worker. Calls of other owners go through.
-func (c *pausableClient) cutOff(worker string) {
+// blockWorker blocks this owner's calls to a worker. Calls of other owners go through.
+func (c *pausableClient) blockWorker(worker string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.blocked = worker
@@ -131,9 +131,9 @@
 	return o.Scheduler.State(ctx, "", id)
 }
 
-// inCell runs a test on a cell, in a synctest bubble, and fails it for every violation that the
+// withCell runs a test on a cell, in a synctest bubble, and fails it for every violation that the
 // fleet has recorded.
-func inCell(t *testing.T, workers int, test func(*cell)) {
+func withCell(t *testing.T, workers int, test func(*cell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -157,8 +157,8 @@
 	})
 }
 
-// rule takes the shard over with a new term and runs its owner.
-func (c *cell) rule() *owner {
+// startOwner takes the shard over with a new term and runs its owner.
+func (c *cell) startOwner() *owner {
 	c.t.Helper()
 	caller := c.store.Caller()
 	for {
@@ -183,7 +183,7 @@
 	ctx, kill := context.WithCancel(c.ctx)
 	client := &pausableClient{Client: c.fleet, resumed: make(chan struct{})}
 	client.resume()
-	config := scheduler.Config{Shard: testShard, Lease: c.lease, LongestLease: fleettest.MostLease, KeepFinal: 2 * time.Minute, Workers: c.workerTimes}
+	config := scheduler.Config{Shard: testShard, Lease: c.lease, LongestLease: fleettest.MostLease, KeepFinal: 2 * time.Minute, WorkerTimes: c.workerTimes}
 	if c.evacuateWithin > 0 {
 		config.EvacuateWithin, config.Evacuations = c.evacuateWithin, c.followEvacuations(ctx, caller)
 	}
@@ -195,7 +195,7 @@
 		c.t.Fatal(err)
 	}
 	o.SetQueues([]workload.Queue{c.queue})
-	o.SetLanes([]scheduler.Lane{{Node: "node", Self: true, Advisor: c.fleet}})
+	o.SetAdviceNodes([]scheduler.AdviceNode{{Node: "node", Self: true, Advisor: c.fleet}})
 	o.SetWorkers(c.fleet.List())
 	go func() {
 		for ctx.Err() == nil {
@@ -209,18 +209,18 @@
 
 // submit registers a job with the fleet and submits it without a client account.
 func (c *cell) submit(o *owner, id string, request workload.Request, plan func(workload.TaskID, int) fleettest.Plan) error {
-	c.know(id, request, plan)
+	c.registerJob(id, request, plan)
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
 	defer cancel()
 	return o.Submit(ctx, id, workload.Record{Request: request, Queue: c.queue, Accepted: time.Now().UnixMilli()})
 }
 
-func (c *cell) know(id string, request workload.Request, plan func(workload.TaskID, int) fleettest.Plan) {
+func (c *cell) registerJob(id string, request workload.Request, plan func(workload.TaskID, int) fleettest.Plan) {
 	c.fleet.Know(id, fleettest.Kind{Request: request, Attempts: c.queue.Attempts, Advised: c.queue.Advice.Needed(), Plan: plan})
 }
 
-// await polls until a job is in a state, and fails the test if it is not within a time.
-func (c *cell) await(o *owner, id string, want workload.State, within time.Duration) {
+// awaitState polls until a job is in a state, and fails the test if it is not within a time.
+func (c *cell) awaitState(o *owner, id string, want workload.State, within time.Duration) {
 	c.t.Helper()
 	state := workload.State("")
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -232,8 +232,8 @@
 	c.t.Errorf("job %s is %q after %v, want %q", id, state, within, want)
 }
 
-// jobOf returns a request with one step.
-func jobOf(count int, cpu resource.MilliCPU) workload.Request {
+// newRequest returns a request with one step.
+func newRequest(count int, cpu resource.MilliCPU) workload.Request {
 	return workload.Request{Spec: "spec", Steps: []workload.Step{newStep(count, cpu)}}
 }
 
@@ -241,8 +241,8 @@
 	return workload.Step{Count: count, Need: resource.Amount{CPU: cpu, Memory: gigabyte}, Estimate: time.Second}
 }
 
-// work returns a plan in which every attempt succeeds after a time.
-func work(d time.Duration) func(workload.TaskID, int) fleettest.Plan {
+// succeedAfter returns a plan in which every attempt succeeds after a time.
+func succeedAfter(d time.Duration) func(workload.TaskID, int) fleettest.Plan {
 	return func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: d} }
 }
 
--- a/scheduler/commit.go
+++ b/scheduler/commit.go
@@ -28,21 +28,21 @@
 )
 
 const (
-	// leastCommitGap is the minimum time between the starts of two transactions, so
+	// minCommitInterval is the minimum time between the starts of two transactions, so
 	// that changes share a transaction.
-	leastCommitGap = 20 * time.Millisecond
+	minCommitInterval = 20 * time.Millisecond
 	// ownerWriteShare is the share of the partition's write rate that the owner uses.
 	// The rest is left for retries and for the next owner.
 	ownerWriteShare = 0.5
 )
 
-// commitGapFor returns the minimum time between two transactions for a store that
+// commitIntervalFor returns the minimum time between two transactions for a store that
 // accepts writes transactions per second; 0 means unknown.
-func commitGapFor(writes float64) time.Duration {
+func commitIntervalFor(writes float64) time.Duration {
 	if writes <= 0 {
-		return leastCommitGap
+		return minCommitInterval
 	}
-	return max(leastCommitGap, time.Duration(float64(time.Second)/(writes*ownerWriteShare)))
+	return max(minCommitInterval, time.Duration(float64(time.Second)/(writes*ownerWriteShare)))
 }
 
 // slowCommitThreshold is the duration above which a transaction is logged as slow.
@@ -52,9 +52,9 @@
 // to confirm its term.
 const idleCommitInterval = 250 * time.Millisecond
 
-// change records a change of a job and queues the job for the next transaction. The lock
+// markDirty records a markDirty of a job and queues the job for the next transaction. The lock
 // is held.
-func (s *Scheduler) change(j *job) {
+func (s *Scheduler) markDirty(j *job) {
 	j.generation++
 	if !j.queued {
 		j.queued = true
@@ -63,9 +63,9 @@
 	wake(s.commitWake)
 }
 
-// onceSaved calls do once the job's current generation is in the store. The lock is
+// onSaved calls do once the job's current generation is in the store. The lock is
 // held, both now and during the call.
-func (j *job) onceSaved(do func()) {
+func (j *job) onSaved(do func()) {
 	j.afterSave = append(j.afterSave, saveAction{j.generation, do})
 }
 
@@ -97,8 +97,8 @@
 	}
 }
 
-// written is the state of a job that a transaction writes.
-type written struct {
+// jobWrite is the state of a job that a transaction writes.
+type jobWrite struct {
 	job        *job
 	generation uint64
 	state      workload.State
@@ -124,9 +124,9 @@
 		s.markSaved(w)
 	}
 	for _, w := range s.workers {
-		w.advanceNoted()
+		w.advancePersisted()
 	}
-	if took < slowCommitThreshold && len(s.dirty)+unbundleAtOnce <= bundleThreshold {
+	if took < slowCommitThreshold && len(s.dirty)+maxUnbundledJobs <= bundleThreshold {
 		s.unbundle()
 	}
 	if len(s.dirty) > 0 {
@@ -137,20 +137,20 @@
 
 // takeDirty dequeues as many changed jobs as fit into a transaction and encodes their
 // rows. Above bundleThreshold it writes them in bundles.
-func (s *Scheduler) takeDirty() ([]written, []rowstore.Put, []rowstore.Key) {
+func (s *Scheduler) takeDirty() ([]jobWrite, []rowstore.Put, []rowstore.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var batch []written
+	var batch []jobWrite
 	var puts []rowstore.Put
 	deletes := s.takeObsoleteBundles()
 	if len(s.dirty) > bundleThreshold {
-		batch, puts = s.takeBundles()
+		batch, puts = s.bundleDirty()
 		return batch, puts, deletes
 	}
 	for len(batch) < len(s.dirty) && len(puts)+len(deletes) < maxJobEntries {
 		j := s.dirty[len(batch)]
 		j.queued, j.sent = false, true
-		batch = append(batch, written{job: j, generation: j.generation, state: j.state})
+		batch = append(batch, jobWrite{job: j, generation: j.generation, state: j.state})
 		jobPuts, jobDeletes := s.rowChanges(j)
 		puts, deletes = append(puts, jobPuts...), append(deletes, jobDeletes...)
 	}
@@ -160,27 +160,27 @@
 
 // takeObsoleteBundles dequeues bundles to be deleted, at most maxBundleDeletes.
 func (s *Scheduler) takeObsoleteBundles() []rowstore.Key {
-	count := min(len(s.deadBundles), maxBundleDeletes)
-	dead := append([]rowstore.Key(nil), s.deadBundles[:count]...)
-	s.deadBundles = s.deadBundles[count:]
+	count := min(len(s.obsoleteBundles), maxBundleDeletes)
+	dead := append([]rowstore.Key(nil), s.obsoleteBundles[:count]...)
+	s.obsoleteBundles = s.obsoleteBundles[count:]
 	return dead
 }
 
 // rowChanges returns the row changes of a job. A job without any progress has no row
 // in the progress table.
 func (s *Scheduler) rowChanges(j *job) (puts []rowstore.Put, deletes []rowstore.Key) {
-	if j.forgotten {
-		return nil, []rowstore.Key{s.key(progressTable, j.id)}
+	if j.expired {
+		return nil, []rowstore.Key{s.rowKey(progressTable, j.id)}
 	}
 	needed := j.needsRecord()
 	switch {
 	case !needed && j.inserted:
-		deletes = append(deletes, s.key(recordTable, j.id))
+		deletes = append(deletes, s.rowKey(recordTable, j.id))
 	case needed && !j.inserted:
-		puts = append(puts, rowstore.Put{Key: s.key(recordTable, j.id), Value: j.record.Encode()})
+		puts = append(puts, rowstore.Put{Key: s.rowKey(recordTable, j.id), Value: j.record.Encode()})
 	}
 	if progress := j.progress(); j.state.Final() || j.inserted || len(progress.Steps) > 0 {
-		puts = append(puts, rowstore.Put{Key: s.key(progressTable, j.id), Value: progress.Encode()})
+		puts = append(puts, rowstore.Put{Key: s.rowKey(progressTable, j.id), Value: progress.Encode()})
 	}
 	j.inserted = needed
 	return puts, deletes
@@ -191,17 +191,17 @@
 // account's quota.
 func (j *job) needsRecord() bool { return !j.state.Final() || j.hosted > 0 }
 
-func (s *Scheduler) key(table, name string) rowstore.Key {
+func (s *Scheduler) rowKey(table, name string) rowstore.Key {
 	return rowstore.Key{Table: table, Partition: s.shard, Name: name}
 }
 
 // markSaved records that a job's generation is in the store and runs the callbacks that are
 // due. The lock is held.
-func (s *Scheduler) markSaved(w written) {
+func (s *Scheduler) markSaved(w jobWrite) {
 	j := w.job
 	j.saved = max(j.saved, w.generation)
 	j.savedState = w.state
-	s.enterBundle(j, w.bundle)
+	s.setBundle(j, w.bundle)
 	rest := j.afterSave[:0]
 	var due []saveAction
 	for _, action := range j.afterSave {
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -33,8 +33,8 @@
 	listedAliveDelay = 6 * time.Second
 )
 
-// breakage records that the connection to a worker broke.
-type breakage struct {
+// disconnect records that the connection to a worker broke.
+type disconnect struct {
 	at      time.Time
 	worker  *worker
 	jobs    []*job // with attempts there that had not settled
@@ -43,26 +43,26 @@
 
 // recordDisconnect records that a worker closed its connection. The caller must hold s.mu.
 func (s *Scheduler) recordDisconnect(w *worker, now time.Time) {
-	s.breaks = slices.DeleteFunc(s.breaks, func(b breakage) bool { return now.Sub(b.at) > disconnectRetention })
+	s.connectionBreaks = slices.DeleteFunc(s.connectionBreaks, func(b disconnect) bool { return now.Sub(b.at) > disconnectRetention })
 	var jobs []*job
 	for _, t := range w.tasks {
 		if !t.settledBy(now) {
 			jobs = append(jobs, t.step.job)
 		}
 	}
-	s.breaks = append(s.breaks, breakage{now, w, jobs, w.trial.started && w.trialUnsettled(now)})
+	s.connectionBreaks = append(s.connectionBreaks, disconnect{now, w, jobs, w.trial.started && w.trialUnsettled(now)})
 }
 
 // settledBy reports whether the current attempt had run for settleTime at the given time.
 func (t *task) settledBy(at time.Time) bool {
-	return !t.begunAt.IsZero() && at.Sub(t.begunAt) >= settleTime
+	return !t.startedAt.IsZero() && at.Sub(t.startedAt) >= settleTime
 }
 
 // endedAlone reports whether at most maxCorrelatedEnds other workers ended at the same time as w.
 // Workers on trial and those with unsettled attempts of the same job are not counted.
 func (s *Scheduler) endedAlone(w *worker, j *job) bool {
 	others := 0
-	for _, b := range s.breaks {
+	for _, b := range s.connectionBreaks {
 		correlated := b.worker != w && b.at.Sub(w.unresponsiveSince).Abs() < correlationWindow
 		if correlated && !b.onTrial && !slices.Contains(b.jobs, j) {
 			others++
@@ -75,7 +75,7 @@
 // the attempt ends. The caller must hold s.mu.
 func (s *Scheduler) recordLost(t *task) {
 	w := t.worker
-	if !t.told || w.leaving {
+	if !t.startSent || w.leaving {
 		return
 	}
 	if t.runTime() >= crashResetTime {
@@ -87,28 +87,28 @@
 	if evidence != workload.RanOn {
 		s.markSuspected(t.step)
 	}
-	w.lost = append(w.lost, lostAttempt{t, t.attempt})
+	w.lostAttempts = append(w.lostAttempts, lostAttempt{t, t.attempt})
 }
 
 // markSuspected marks a step whose tasks may crash their workers.
 func (s *Scheduler) markSuspected(st *step) {
 	if !st.suspected {
-		s.metrics.suspected.Add(1)
+		s.metrics.suspectedSteps.Add(1)
 	}
-	st.suspected, st.passed = true, false
+	st.suspected, st.trialPassed = true, false
 }
 
 // crashEvidence returns the evidence that the current attempt, which is lost, crashed its worker.
 func (s *Scheduler) crashEvidence(t *task) workload.Evidence {
 	w := t.worker
-	lastAlive := w.contact
+	lastAlive := w.lastReportAt
 	if w.connectionClosed {
 		lastAlive = w.unresponsiveSince
 	}
 	switch {
 	case t.recovered: // this owner never reached the worker and cannot tell when it ended
 		return workload.Unclear
-	case t.begunAt.IsZero() && !t.cutShort: // the start may not have reached the worker
+	case t.startedAt.IsZero() && !t.startConnectionClosed: // the start may not have reached the worker
 		return workload.Unclear
 	case t.settledBy(lastAlive):
 		return workload.RanOn
@@ -136,35 +136,35 @@
 // clearLost removes the lost attempts of a worker that answers again from their tasks' crash
 // records. The caller must hold s.mu.
 func (s *Scheduler) clearLost(w *worker) {
-	for _, lost := range w.lost {
+	for _, lost := range w.lostAttempts {
 		if j := lost.task.step.job; !j.state.Final() {
 			lost.task.crashes = lost.task.crashes.WithFound(w.info.Life)
-			s.change(j)
+			s.markDirty(j)
 		}
 	}
-	w.lost = nil
+	w.lostAttempts = nil
 }
 
 // countLost counts an ended worker in the crash records of the tasks lost with it, and fails the
 // jobs of those with too many. The caller must hold s.mu.
 func (s *Scheduler) countLost(w *worker) {
-	for _, lost := range w.lost {
+	for _, lost := range w.lostAttempts {
 		t := lost.task
 		j := t.step.job
 		if j.state.Final() || t.state == taskDone {
 			continue
 		}
 		t.crashes = t.crashes.WithEnded(w.info.Life, t.attempt)
-		s.metrics.crashed.Add(1)
+		s.metrics.lostWithWorker.Add(1)
 		s.log.Warn().Str("job", j.id).Str("task", t.id().String()).Int("attempt", lost.number).Str("worker", w.info.ID).
 			Int("workers", t.crashes.Workers).Int("soon", t.crashes.Soon).Int("last_attempt", t.crashes.LastAttempt).
 			Msg("worker has ended under a task")
-		s.change(j)
+		s.markDirty(j)
 		if !t.hosted() {
 			s.failIfCrashing(t)
 		}
 	}
-	w.lost = nil
+	w.lostAttempts = nil
 }
 
 // failIfCrashing fails the job of a task under which too many workers have ended. The caller must
@@ -173,19 +173,19 @@
 	if t.state == taskDone || !t.crashes.GivenUp(t.attempt) {
 		return
 	}
-	s.metrics.gaveUp.Add(1)
+	s.metrics.crashLimitReached.Add(1)
 	s.finish(t.step.job, workload.Failed, "workers have ended under its task "+t.id().String())
 }
 
-// settleListed treats unresponsive workers as alive if discovery has continued to list them. The
+// clearListedWorkers treats unresponsive workers as alive if discovery has continued to list them. The
 // caller must hold s.mu.
-func (s *Scheduler) settleListed(now time.Time) {
+func (s *Scheduler) clearListedWorkers(now time.Time) {
 	if since := s.term.FailingSince(); !since.IsZero() || now.Sub(s.term.RestoredAt()) < listedAliveDelay {
 		return // the list may be outdated
 	}
 	for _, w := range s.workers {
-		if len(w.lost) > 0 && w.failing && w.known && now.Sub(w.unresponsiveSince) > listedAliveDelay {
-			s.log.Info().Str("worker", w.info.ID).Strs("lost", attemptNames(w.lost)).Dur("silent", now.Sub(w.unresponsiveSince)).
+		if len(w.lostAttempts) > 0 && w.unresponsive && w.discovered && now.Sub(w.unresponsiveSince) > listedAliveDelay {
+			s.log.Info().Str("worker", w.info.ID).Strs("lost", attemptNames(w.lostAttempts)).Dur("silent", now.Sub(w.unresponsiveSince)).
 				Msg("worker is listed and out of reach")
 			s.clearLost(w)
 		}
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -19,24 +19,24 @@
 		during     func(c *cell, o *owner) *owner
 		maxCrashes int // a new owner does not know which connections its predecessor saw break
 	}{
-		{"alone", jobOf(1, 1000), undisturbed, 2},
-		{"with sound tasks in the same step", jobOf(6, 1000), undisturbed, 2},
-		{"in a gang", gangOf(3, 2000), undisturbed, 2},
-		{"in a lasting step", newLastingRequest(1, 1000), undisturbed, 2},
-		{"owner killed after each crash", jobOf(1, 1000), killOwnerAfterCrashes, 5},
-		{"owner killed after the leases expired", jobOf(1, 1000), killOwnerAfterLeases, 5},
+		{"alone", newRequest(1, 1000), keepOwner, 2},
+		{"with sound tasks in the same step", newRequest(6, 1000), keepOwner, 2},
+		{"in a gang", newGangRequest(3, 2000), keepOwner, 2},
+		{"in a lasting step", newLastingRequest(1, 1000), keepOwner, 2},
+		{"owner killed after each crash", newRequest(1, 1000), killOwnerAfterCrashes, 5},
+		{"owner killed after the leases expired", newRequest(1, 1000), killOwnerAfterLeases, 5},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 12, func(c *cell) {
+			withCell(t, 12, func(c *cell) {
 				c.lease = shortLease
-				o := c.rule()
+				o := c.startOwner()
 				time.Sleep(500 * time.Millisecond)
 				if err := c.submit(o, "culprit", test.request, crashingPlan(0)); err != nil {
 					t.Fatal(err)
 				}
 				o = test.during(c, o)
-				c.await(o, "culprit", workload.Failed, 30*time.Second)
+				c.awaitState(o, "culprit", workload.Failed, 30*time.Second)
 				time.Sleep(10 * time.Second)
 				c.assertCrashes("culprit.0.0.0", test.maxCrashes)
 			})
@@ -55,7 +55,7 @@
 	}
 }
 
-func undisturbed(_ *cell, o *owner) *owner { return o }
+func keepOwner(_ *cell, o *owner) *owner { return o }
 
 // killOwnerAfterCrashes replaces the owner after each crash, until the job is final.
 func killOwnerAfterCrashes(c *cell, o *owner) *owner { return c.killOwners(o, 0) }
@@ -70,7 +70,7 @@
 		time.Sleep(after)
 		o.kill()
 		time.Sleep(500 * time.Millisecond)
-		o = c.rule()
+		o = c.startOwner()
 	}
 	return o
 }
@@ -99,14 +99,14 @@
 	}
 }
 
-func gangOf(count int, cpu resource.MilliCPU) workload.Request {
-	request := jobOf(count, cpu)
+func newGangRequest(count int, cpu resource.MilliCPU) workload.Request {
+	request := newRequest(count, cpu)
 	request.Steps[0].Gang = true
 	return request
 }
 
 func newLastingRequest(count int, cpu resource.MilliCPU) workload.Request {
-	request := jobOf(count, cpu)
+	request := newRequest(count, cpu)
 	request.Steps[0].Lasting = true
 	return request
 }
@@ -114,26 +114,26 @@
 // Guards against failing jobs for the crashes of others: jobs that share workers with a task that
 // crashes them are completed.
 func TestJobsBesideCrashingTaskComplete(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		for round := range 4 {
 			culprit := fmt.Sprintf("culprit-%d", round)
-			if err := c.submit(o, culprit, jobOf(1, 1000), crashingPlan(0)); err != nil {
+			if err := c.submit(o, culprit, newRequest(1, 1000), crashingPlan(0)); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 6 {
-				if err := c.submit(o, fmt.Sprintf("bystander-%d-%d", round, i), jobOf(2, 1000), work(800*time.Millisecond)); err != nil {
+				if err := c.submit(o, fmt.Sprintf("bystander-%d-%d", round, i), newRequest(2, 1000), succeedAfter(800*time.Millisecond)); err != nil {
 					t.Fatal(err)
 				}
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
 		for round := range 4 {
-			c.await(o, fmt.Sprintf("culprit-%d", round), workload.Failed, 30*time.Second)
+			c.awaitState(o, fmt.Sprintf("culprit-%d", round), workload.Failed, 30*time.Second)
 			for i := range 6 {
-				c.await(o, fmt.Sprintf("bystander-%d-%d", round, i), workload.Completed, 30*time.Second)
+				c.awaitState(o, fmt.Sprintf("bystander-%d-%d", round, i), workload.Completed, 30*time.Second)
 			}
 		}
 	})
--- a/scheduler/crash_waves_test.go
+++ b/scheduler/crash_waves_test.go
@@ -16,9 +16,9 @@
 // Guards against blaming jobs for common-cause crashes: a third of all workers end at once, several
 // times, and every job is completed.
 func TestCrashWavesFailNoJob(t *testing.T) {
-	inCell(t, 24, func(c *cell) {
+	withCell(t, 24, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		rng := rand.New(rand.NewPCG(1, 2))
 		jobs := 0
@@ -27,14 +27,14 @@
 				c.crashRandomWorkers(rng, 3)
 			}
 			name := fmt.Sprintf("job-%d", jobs)
-			if err := c.submit(o, name, jobOf(2, 2000), work(700*time.Millisecond)); err != nil {
+			if err := c.submit(o, name, newRequest(2, 2000), succeedAfter(700*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
 			jobs++
 			time.Sleep(100 * time.Millisecond)
 		}
 		for i := range jobs {
-			c.await(o, fmt.Sprintf("job-%d", i), workload.Completed, 30*time.Second)
+			c.awaitState(o, fmt.Sprintf("job-%d", i), workload.Completed, 30*time.Second)
 		}
 	})
 }
@@ -61,18 +61,18 @@
 
 // Tasks that crash their workers at the same time are each identified and given up.
 func TestSimultaneousCrashingTasks(t *testing.T) {
-	inCell(t, 24, func(c *cell) {
+	withCell(t, 24, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		const culprits = 6
 		for i := range culprits {
-			if err := c.submit(o, fmt.Sprintf("culprit-%d", i), jobOf(1, 9000), crashingPlan(0)); err != nil {
+			if err := c.submit(o, fmt.Sprintf("culprit-%d", i), newRequest(1, 9000), crashingPlan(0)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for i := range culprits {
-			c.await(o, fmt.Sprintf("culprit-%d", i), workload.Failed, 40*time.Second)
+			c.awaitState(o, fmt.Sprintf("culprit-%d", i), workload.Failed, 40*time.Second)
 			c.assertCrashes(fmt.Sprintf("culprit-%d.0.0.0", i), 3)
 		}
 	})
@@ -84,7 +84,7 @@
 func TestRandomCrashes(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			inCell(t, 16, func(c *cell) { c.runRandomCrashes(rand.New(rand.NewPCG(seed, 7))) })
+			withCell(t, 16, func(c *cell) { c.runRandomCrashes(rand.New(rand.NewPCG(seed, 7))) })
 		})
 	}
 }
@@ -94,45 +94,45 @@
 	if rng.IntN(2) == 0 {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
 	}
-	o := c.rule()
+	o := c.startOwner()
 	time.Sleep(500 * time.Millisecond)
 	var culprits, others []string
 	for round := range 40 { // about 12 s
 		name := fmt.Sprintf("job-%d", round)
-		request := jobOf(1+rng.IntN(4), resource.MilliCPU(500+rng.IntN(4000)))
+		request := newRequest(1+rng.IntN(4), resource.MilliCPU(500+rng.IntN(4000)))
 		request.Steps[0].Gang = rng.IntN(4) == 0
 		if rng.IntN(3) == 0 {
 			second := newStep(1+rng.IntN(3), 1000)
 			second.After, second.Checkpoints = []int{0}, true
 			request.Steps = append(request.Steps, second)
 		}
-		plan := work(time.Duration(200+rng.IntN(1500)) * time.Millisecond)
+		plan := succeedAfter(time.Duration(200+rng.IntN(1500)) * time.Millisecond)
 		if rng.IntN(8) == 0 {
 			plan = crashingPlan(0)
 			culprits = append(culprits, name)
 		} else {
 			others = append(others, name)
 		}
-		c.know(name, request, plan)
-		o = c.submitSomehow(o, name, request)
+		c.registerJob(name, request, plan)
+		o = c.submitWithRetry(o, name, request)
 		o = c.applyRandomFault(o, rng)
 		time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 	}
 	o.caller.SetFault(nil)
 	c.fleet.SetFault(nil)
 	for _, name := range culprits {
-		c.await(o, name, workload.Failed, 20*time.Second)
+		c.awaitState(o, name, workload.Failed, 20*time.Second)
 	}
 	for _, name := range others {
 		if state, _ := o.State(c.ctx, name); state == workload.Failed && c.fleet.EndedUnder(name) >= 2 {
 			continue
 		}
-		c.await(o, name, workload.Completed, 20*time.Second)
+		c.awaitState(o, name, workload.Completed, 20*time.Second)
 	}
 }
 
-// submitSomehow submits a job until it is accepted, replacing the owner after each failure.
-func (c *cell) submitSomehow(o *owner, name string, request workload.Request) *owner {
+// submitWithRetry submits a job until it is accepted, replacing the owner after each failure.
+func (c *cell) submitWithRetry(o *owner, name string, request workload.Request) *owner {
 	c.t.Helper()
 	for range 5 {
 		err := c.submit(o, name, request, c.fleet.PlanOf(name))
@@ -142,7 +142,7 @@
 		o.caller.SetFault(nil)
 		o.kill()
 		time.Sleep(300 * time.Millisecond)
-		o = c.rule()
+		o = c.startOwner()
 	}
 	c.t.Errorf("job %s not accepted in 5 attempts", name)
 	return o
@@ -154,7 +154,7 @@
 	case 0:
 		o.kill()
 		time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
-		return c.rule()
+		return c.startOwner()
 	case 1:
 		alive := c.liveWorkers()
 		if len(alive) > 4 {
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -23,12 +23,12 @@
 		}
 		s.mu.Lock()
 		now := time.Now()
-		s.expireUnseen(now)
+		s.expireUnreached(now)
 		s.dispatch(now)
 		if now.Sub(lastHousekeeping) > housekeepingInterval {
 			lastHousekeeping = now
 			s.prune(now)
-			s.settleListed(now)
+			s.clearListedWorkers(now)
 		}
 		took := time.Since(now)
 		s.mu.Unlock()
@@ -43,11 +43,11 @@
 
 // candidate is a step with tasks that can be placed.
 type candidate struct {
-	step     *step
-	tasks    []*task // waiting tasks that are being placed
-	allowed  int     // number of tasks that the account's quota allows to start now
-	urgency  urgency.Verdict
-	deadline time.Time
+	step           *step
+	tasks          []*task // waiting tasks that are being placed
+	quotaAllowance int     // number of tasks that the account's quota allows to start now
+	urgency        urgency.Verdict
+	deadline       time.Time
 }
 
 // maxBlockingGangs is the maximum number of waiting gangs for which workers are kept free.
@@ -69,30 +69,30 @@
 		p.add(w)
 	}
 	p.sortPools()
-	p.countGaps(s.demands)
+	p.countHeadroom(s.demands)
 	if since := s.term.FailingSince(); !since.IsZero() && now.Sub(since) > maxGrantOutage || !s.viewIsFresh() {
 		s.refreshAdvice(p, list)
 		return
 	}
 	asked := 0
 	for _, c := range list {
-		if s.held(p, &c) {
+		if s.heldByQuota(p, &c) {
 			continue
 		}
 		s.place(p, c)
 		s.logGranted(p, c)
-		p.noteWide(c)
-		if c.allowed = c.step.allowed(); c.allowed > 0 && asked < maxAdviceSteps {
-			s.askAdvice(p, c, checkAfter(asked))
+		p.recordWaitingGang(c)
+		if c.quotaAllowance = c.step.allowedTasks(); c.quotaAllowance > 0 && asked < maxAdviceSteps {
+			s.requestAdvice(p, c, recheckInterval(asked))
 			asked++
 		}
 	}
 }
 
-// waiting returns the tasks that can be placed, as many as the account's quota allows.
-func (c candidate) waiting() []*task {
-	list := c.step.waiting()
-	return list[:min(len(list), c.allowed)]
+// placeableTasks returns the tasks that can be placed, as many as the account's quota allows.
+func (c candidate) placeableTasks() []*task {
+	list := c.step.placeableTasks()
+	return list[:min(len(list), c.quotaAllowance)]
 }
 
 // maxAdviceSteps is the maximum number of steps, in order of urgency, for which a pass
@@ -111,8 +111,8 @@
 		if asked == maxAdviceSteps {
 			return
 		}
-		if c.allowed = c.step.allowed(); c.allowed > 0 {
-			s.askAdvice(p, c, checkAfter(asked))
+		if c.quotaAllowance = c.step.allowedTasks(); c.quotaAllowance > 0 {
+			s.requestAdvice(p, c, recheckInterval(asked))
 			asked++
 		}
 	}
@@ -136,8 +136,8 @@
 	return list
 }
 
-// byUrgency compares candidates by urgency, and by job ID if that is equal.
-func byUrgency(a, b candidate) int {
+// compareUrgency compares candidates by urgency, and by job ID if that is equal.
+func compareUrgency(a, b candidate) int {
 	return cmp.Or(urgency.Compare(a.urgency, b.urgency), cmp.Compare(a.step.job.id, b.step.job.id))
 }
 
@@ -147,7 +147,7 @@
 		if st.done() || now.Before(st.retryAt) || !r.ready(st) {
 			continue
 		}
-		if !st.anyWaiting() || st.spec.Gang && (!st.idle() || st.anyHeldByLoss()) {
+		if !st.anyPlaceable() || st.spec.Gang && (!st.idle() || st.anyHeldByLoss()) {
 			continue
 		}
 		verdict := urgency.Judge(workOf(st, now), now)
@@ -162,9 +162,9 @@
 	j := st.job
 	return urgency.Work{
 		Priority: j.record.Queue.Priority, Arrived: j.arrived, Deadline: j.deadline,
-		Chain:   j.rounds[st.round].chainLeft(&j.record.Request),
+		Chain:   j.rounds[st.round].remainingChain(&j.record.Request),
 		Untimed: st.spec.Lasting || j.record.Request.Timed(),
 		Idle:    j.idle(now),
-		Beyond:  j.beyond,
+		Beyond:  j.overShare,
 	}
 }
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -24,9 +24,9 @@
 	s.recordOutcome(t, outcome, time.Now())
 	w.release(t)
 	switch {
-	case !t.told:
+	case !t.startSent:
 		t.crashes = t.crashes.WithSpareAttempt()
-	case outcome != fleet.Lapsed && !t.begunAt.IsZero():
+	case outcome != fleet.Lapsed && !t.startedAt.IsZero():
 		t.crashes = t.crashes.WithSettled() // the worker survived the attempt
 	}
 	s.finishTrial(w, time.Now())
@@ -35,7 +35,7 @@
 		t.state = taskWaiting
 	}
 	wake(s.dispatchWake)
-	s.change(j)
+	s.markDirty(j)
 	if j.state.Final() || t.state == taskDone {
 		return
 	}
@@ -43,13 +43,13 @@
 	case outcome == fleet.Done && !st.spec.Lasting:
 		s.handleTaskDone(t)
 	case outcome == fleet.Failed && !st.spec.Lasting:
-		t.failedOn = w
+		t.lastFailedOn = w
 		s.handleTaskFailure(t)
 	case outcome == fleet.Failed:
 		st.retryAt = time.Now().Add(failureBackoff)
 	}
 	if st.spec.Gang && !st.done() && !j.state.Final() {
-		s.breakGang(st, t.attempt, "another member of the gang ended")
+		s.stopGang(st, t.attempt, "another member of the gang ended")
 	}
 	if !j.state.Final() {
 		s.failIfCrashing(t)
@@ -69,10 +69,10 @@
 // runTime returns the confirmed run time of the current attempt: from the worker's confirmation of
 // the start until its last report.
 func (t *task) runTime() time.Duration {
-	if t.begunAt.IsZero() {
+	if t.startedAt.IsZero() {
 		return 0
 	}
-	return max(0, t.worker.contact.Sub(t.begunAt))
+	return max(0, t.worker.lastReportAt.Sub(t.startedAt))
 }
 
 // handleTaskDone marks a task as done. A gang is done once its first member is.
@@ -86,7 +86,7 @@
 		t.markDone()
 	}
 	j := st.job
-	if j.left == 0 {
+	if j.roundsLeft == 0 {
 		s.finish(j, workload.Completed, "every task is done")
 	}
 }
@@ -107,10 +107,10 @@
 	}
 }
 
-// breakGang stops the other members of a gang's attempt. The gang cannot run without all members,
+// stopGang stops the other members of a gang's attempt. The gang cannot run without all members,
 // and replacing a member in doubt can take startWithin plus a lease; until then the others would
 // occupy their room for nothing.
-func (s *Scheduler) breakGang(st *step, attempt int, why string) {
+func (s *Scheduler) stopGang(st *step, attempt int, why string) {
 	for _, member := range st.tasks {
 		if member.attempt != attempt {
 			continue
@@ -119,7 +119,7 @@
 		case taskGranted:
 			s.endAttempt(member, fleet.Stopped, "", why)
 		case taskStarting, taskRunning:
-			s.recall(member, why)
+			s.beginStop(member, why)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	j.state, j.finalAt = state, time.Now().UnixMilli()
 	delete(s.active, j.id)
-	close(j.ended)
+	close(j.done)
 	late := time.Until(j.deadline) < 0
 	s.log.Info().Str("job", j.id).Str("queue", j.record.Queue.Name).Str("state", string(state)).Str("why", why).
 		Dur("age", time.Since(j.arrived)).Bool("late", late).Msg("job is final")
@@ -141,5 +141,5 @@
 			s.stop(t, "its job is "+string(state))
 		}
 	})
-	s.change(j)
+	s.markDirty(j)
 }
--- a/scheduler/evacuated.go
+++ b/scheduler/evacuated.go
@@ -100,9 +100,9 @@
 	age, _ := view.Age(now)
 	s.log.Info().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
 		Str("worker", t.worker.info.ID).Str("hall", t.worker.info.Zone).Str("why", reason).Uint64("version", view.Version()).
-		Dur("age", age).Bool("sent", t.told).Msg("start held back")
+		Dur("age", age).Bool("sent", t.startSent).Msg("start held back")
 	s.metrics.startRefused(reason)
-	if t.told {
+	if t.startSent {
 		s.stop(t, reason)
 		return
 	}
--- a/scheduler/evacuated_test.go
+++ b/scheduler/evacuated_test.go
@@ -109,7 +109,7 @@
 // inEvacuationCell runs a test in a cell whose owners follow evacuations.
 func inEvacuationCell(t *testing.T, test func(*cell)) {
 	t.Helper()
-	inCell(t, 6, func(c *cell) {
+	withCell(t, 6, func(c *cell) {
 		c.evacuateWithin, c.lease = evacuationBound, shortLease
 		test(c)
 	})
@@ -121,16 +121,16 @@
 // No task of any kind starts in an evacuated data hall, and the tasks running there continue. New
 // jobs are placed in other halls at once.
 func TestNoStartsInEvacuatedHall(t *testing.T) {
-	gang := jobOf(4, 8000)
+	gang := newRequest(4, 8000)
 	gang.Steps[0].Gang = true
-	lasting := jobOf(2, 1000)
+	lasting := newRequest(2, 1000)
 	lasting.Steps[0].Lasting = true
-	rack := jobOf(2, 1000)
+	rack := newRequest(2, 1000)
 	rack.Steps[0].SameRack = true
-	near := jobOf(1, 1000)
+	near := newRequest(1, 1000)
 	near.Steps[0].NearRack = "r1-0"
 	for name, request := range map[string]workload.Request{
-		"single tasks": jobOf(3, 1000), "a gang": gang, "long-running tasks": lasting, "tasks of one rack": rack, "task near its data": near,
+		"single tasks": newRequest(3, 1000), "a gang": gang, "long-running tasks": lasting, "tasks of one rack": rack, "task near its data": near,
 	} {
 		t.Run(name, func(t *testing.T) {
 			duration := time.Second
@@ -138,10 +138,10 @@
 				duration = time.Hour
 			}
 			inEvacuationCell(t, func(c *cell) {
-				o := c.rule()
+				o := c.startOwner()
 				time.Sleep(time.Second)
-				before := jobOf(6, 8000)
-				if err := c.submit(o, "before", before, work(20*time.Second)); err != nil {
+				before := newRequest(6, 8000)
+				if err := c.submit(o, "before", before, succeedAfter(20*time.Second)); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Second)
@@ -151,11 +151,11 @@
 				if now := c.fleet.Running(); now != running {
 					t.Errorf("%d attempts are running after the evacuation, want %d", now, running)
 				}
-				if err := c.submit(o, "job", request, work(duration)); err != nil {
+				if err := c.submit(o, "job", request, succeedAfter(duration)); err != nil {
 					t.Fatal(err)
 				}
 				c.wantFirstTaskIn("job", placementTimeout, hallOf(1), hallOf(2))
-				c.await(o, "before", workload.Completed, 30*time.Second)
+				c.awaitState(o, "before", workload.Completed, 30*time.Second)
 			})
 		})
 	}
@@ -164,11 +164,11 @@
 // A job waits while all data halls are evacuated, and starts as soon as one is readmitted.
 func TestAllHallsEvacuated(t *testing.T) {
 	inEvacuationCell(t, func(c *cell) {
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		c.evacuate(allHalls)
 		waitPastBound()
-		if err := c.submit(o, "job", jobOf(2, 1000), work(time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(2, 1000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * evacuationBound)
@@ -177,28 +177,28 @@
 		}
 		c.readmit(2)
 		c.wantFirstTaskIn("job", time.Second, hallOf(2))
-		c.await(o, "job", workload.Completed, 5*time.Second)
+		c.awaitState(o, "job", workload.Completed, 5*time.Second)
 	})
 }
 
 // The evacuation of a data hall without workers does not delay any job.
 func TestUnknownHallEvacuated(t *testing.T) {
 	inEvacuationCell(t, func(c *cell) {
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		c.evacuateOne(unknownHall)
 		waitPastBound()
-		if err := c.submit(o, "job", jobOf(6, 8000), work(time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(6, 8000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Completed, 2*time.Second)
+		c.awaitState(o, "job", workload.Completed, 2*time.Second)
 	})
 }
 
 // No start is sent if its data hall is evacuated while the grant is being written.
 func TestGrantWrittenBeforeEvacuation(t *testing.T) {
 	inEvacuationCell(t, func(c *cell) {
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		c.evacuate(1)
 		c.evacuate(2)
@@ -209,7 +209,7 @@
 			}
 			return memory.Fault{}
 		})
-		go c.submit(o, "job", jobOf(2, 1000), work(time.Second))
+		go c.submit(o, "job", newRequest(2, 1000), succeedAfter(time.Second))
 		time.Sleep(400 * time.Millisecond) // its grant is being written
 		c.evacuate(0)
 		c.fleet.Evacuate(hallOf(0), 100*time.Millisecond) // the owner learns of it within a round trip
@@ -219,7 +219,7 @@
 			t.Error("task granted before the evacuation started after it")
 		}
 		c.readmit(1)
-		c.await(o, "job", workload.Completed, 5*time.Second)
+		c.awaitState(o, "job", workload.Completed, 5*time.Second)
 	})
 }
 
@@ -227,13 +227,13 @@
 // stale, and resumes when reads succeed again.
 func TestNoStartsWithStaleView(t *testing.T) {
 	inEvacuationCell(t, func(c *cell) {
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
 		time.Sleep(100 * time.Millisecond)
 		c.evacuate(0)
 		waitPastBound()
-		if err := c.submit(o, "job", jobOf(6, 8000), work(time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(6, 8000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(4 * time.Second)
@@ -242,7 +242,7 @@
 		}
 		o.caller.SetFault(nil)
 		c.wantFirstTaskIn("job", placementTimeout, hallOf(1), hallOf(2))
-		c.await(o, "job", workload.Completed, 10*time.Second)
+		c.awaitState(o, "job", workload.Completed, 10*time.Second)
 	})
 }
 
@@ -299,15 +299,15 @@
 
 // runHallEvents submits a job before each event, then readmits all halls and awaits the jobs.
 func (c *cell) runHallEvents(events []hallEvent) {
-	o := c.rule()
+	o := c.startOwner()
 	time.Sleep(500 * time.Millisecond)
 	wants := map[string]workload.State{}
 	for i, e := range events {
 		name := fmt.Sprintf("job-%d", i)
-		request, plan, want := jobFor(e.Hall + i)
+		request, plan, want := generateJob(e.Hall + i)
 		wants[name] = want
-		c.know(name, request, plan)
-		o = c.submitSomehow(o, name, request)
+		c.registerJob(name, request, plan)
+		o = c.submitWithRetry(o, name, request)
 		o = c.applyHallEvent(o, e)
 		time.Sleep(time.Duration(e.Pause/2) * time.Millisecond)
 	}
@@ -315,7 +315,7 @@
 	o.caller.SetFault(nil)
 	c.readmit(allHalls)
 	for name, want := range wants {
-		c.awaitUnlessEnded(o, name, want)
+		c.awaitStateOrGivenUp(o, name, want)
 	}
 }
 
@@ -353,15 +353,15 @@
 	case ownerKilled:
 		o.kill()
 		time.Sleep(pause / 2)
-		return c.rule()
+		return c.startOwner()
 	case ownerPaused: // shorter than the time left when the view becomes stale
 		o.client.pause()
 		time.Sleep(min(pause/2, 400*time.Millisecond))
 		o.client.resume()
 	case workerCallsDelayed:
-		c.everyThird(fleettest.Fault{Late: pause})
+		c.injectFaultEveryThirdCall(fleettest.Fault{Late: pause})
 	case workerAnswersLost:
-		c.everyThird(fleettest.Fault{Mute: true})
+		c.injectFaultEveryThirdCall(fleettest.Fault{Mute: true})
 	case faultsCleared:
 		c.fleet.SetFault(nil)
 		o.caller.SetFault(nil)
--- a/scheduler/fairness.go
+++ b/scheduler/fairness.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// noteArrival counts an accepted job against its account's weight.
-func (j *job) noteArrival() {
+// countAgainstWeight counts an accepted job against its account's weight.
+func (j *job) countAgainstWeight() {
 	a := j.account
-	a.meter, j.beyond = a.meter.WithJob(a.terms.Weight, j.arrived)
-	if j.beyond {
+	a.meter, j.overShare = a.meter.WithJob(a.terms.Weight, j.arrived)
+	if j.overShare {
 		a.excessJobs++
 	}
 }
 
-// noteArrivals counts the jobs taken over from an earlier owner, in order of arrival.
-func (s *Scheduler) noteArrivals() {
+// countArrivals counts the jobs taken over from an earlier owner, in order of arrival.
+func (s *Scheduler) countArrivals() {
 	var list []*job
 	for _, j := range s.jobs {
 		if !j.arrived.IsZero() {
@@ -26,7 +26,7 @@
 		return cmp.Or(a.arrived.Compare(b.arrived), cmp.Compare(a.id, b.id))
 	})
 	for _, j := range list {
-		j.noteArrival()
+		j.countAgainstWeight()
 	}
 }
 
@@ -42,23 +42,23 @@
 		if j.topPriority() {
 			continue
 		}
-		if !j.beyond && !counted[j] {
+		if !j.overShare && !counted[j] {
 			allowance[j.account]++
 		}
 		counted[j] = true
 		list[i].urgency.Beyond = false
 	}
-	slices.SortFunc(list, byUrgency)
+	slices.SortFunc(list, compareUrgency)
 	for i := range list {
 		j := list[i].step.job
 		if counted[j] {
 			counted[j] = false
-			j.beyond = allowance[j.account] == 0
+			j.overShare = allowance[j.account] == 0
 			allowance[j.account] = max(0, allowance[j.account]-1)
 		}
-		list[i].urgency.Beyond = j.beyond
+		list[i].urgency.Beyond = j.overShare
 	}
-	slices.SortFunc(list, byUrgency)
+	slices.SortFunc(list, compareUrgency)
 }
 
 // topPriority reports whether the job's queue has priority 0, whose jobs must start at once.
--- a/scheduler/fairness_test.go
+++ b/scheduler/fairness_test.go
@@ -37,7 +37,7 @@
 // runFairnessLoad generates the load for a time span. With takeover, the owner is replaced halfway.
 func runFairnessLoad(t *testing.T, seed uint64, span time.Duration, takeover bool) (m *fairnessLoad) {
 	t.Helper()
-	inCell(t, 0, func(c *cell) {
+	withCell(t, 0, func(c *cell) {
 		c.addLargeWorkers(loadWorkers)
 		c.lease = shortLease
 		var terms []account.Terms
--- a/scheduler/fault_test.go
+++ b/scheduler/fault_test.go
@@ -50,7 +50,7 @@
 
 // replaceOwner takes the shard over with a new owner. The previous one keeps running.
 func (r *faultRun) replaceOwner() {
-	next := r.rule()
+	next := r.startOwner()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.current = next
@@ -184,18 +184,18 @@
 
 // submitJobs submits a plain job, a gang, a chain of steps and one spread over workers.
 func (r *faultRun) submitJobs(prefix string) []string {
-	gang := jobOf(4, 4500)
+	gang := newRequest(4, 4500)
 	gang.Steps[0].Gang, gang.Steps[0].Checkpoints = true, true
-	chain := jobOf(5, 1000)
+	chain := newRequest(5, 1000)
 	next := newStep(3, 2000)
 	next.After, next.Checkpoints = []int{0}, true
 	chain.Steps = append(chain.Steps, next)
-	spread := jobOf(6, 900)
+	spread := newRequest(6, 900)
 	spread.Steps[0].PerWorker = 2
 	var ids []string
-	for i, request := range []workload.Request{jobOf(2, 1400), gang, chain, spread} {
+	for i, request := range []workload.Request{newRequest(2, 1400), gang, chain, spread} {
 		id := fmt.Sprintf("%s%d", prefix, i)
-		r.know(id, request, r.plan)
+		r.registerJob(id, request, r.plan)
 		ids = append(ids, id)
 		go r.submitUntilAccepted(id, request)
 	}
@@ -225,7 +225,7 @@
 // runFaults injects faults at random times while jobs run, and expects that every job completes.
 func runFaults(t *testing.T, seed uint64, lease time.Duration, faults ...faultCase) {
 	t.Helper()
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		c.lease = lease
 		random := &lockedRand{rng: rand.New(rand.NewPCG(seed, 1))}
 		c.queue.Attempts = 30 // no job may reach its limit of failures
@@ -287,7 +287,7 @@
 func TestAttemptEndsBeforeStartIsAnswered(t *testing.T) {
 	for _, outcome := range []fleet.Outcome{fleet.Done, fleet.Failed} {
 		t.Run(string(outcome), func(t *testing.T) {
-			inCell(t, 3, func(c *cell) {
+			withCell(t, 3, func(c *cell) {
 				c.queue.Attempts = 2
 				// Reports are lost for two seconds, and so is the response to the first start on
 				// each worker.
@@ -302,7 +302,7 @@
 					reportLost := call == fleettest.CallHold && age > 500*time.Millisecond && age < 2500*time.Millisecond
 					return fleettest.Fault{Mute: first || reportLost}
 				})
-				o := c.rule()
+				o := c.startOwner()
 				plan := func(_ workload.TaskID, attempt int) fleettest.Plan {
 					if attempt == 1 {
 						return fleettest.Plan{Work: 40 * time.Millisecond, Outcome: outcome}
@@ -310,10 +310,10 @@
 					return fleettest.Plan{Work: time.Second}
 				}
 				time.Sleep(1600 * time.Millisecond) // calls opened before the reports are lost have ended
-				if err := c.submit(o, "job", jobOf(3, 9000), plan); err != nil {
+				if err := c.submit(o, "job", newRequest(3, 9000), plan); err != nil {
 					t.Fatal(err)
 				}
-				c.await(o, "job", workload.Completed, 8*time.Second)
+				c.awaitState(o, "job", workload.Completed, 8*time.Second)
 			})
 		})
 	}
@@ -322,21 +322,21 @@
 // A grant that is written to the store only after its ticket has expired is dropped without a call
 // to the worker.
 func TestNoStartWithExpiredTicket(t *testing.T) {
-	inCell(t, 9, func(c *cell) {
+	withCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
-		if err := c.submit(o, "taken", jobOf(2, 16_000), work(700*time.Millisecond)); err != nil {
+		if err := c.submit(o, "taken", newRequest(2, 16_000), succeedAfter(700*time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.submit(o, "waiting", jobOf(30, 16_000), work(time.Second)); err != nil {
+		if err := c.submit(o, "waiting", newRequest(30, 16_000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(500 * time.Millisecond)
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 		time.Sleep(5 * time.Second)
 		o.caller.SetFault(nil)
-		c.await(o, "waiting", workload.Completed, 20*time.Second)
+		c.awaitState(o, "waiting", workload.Completed, 20*time.Second)
 		if got := c.fleet.Refused(fleet.NoTicket); got != 0 {
 			t.Errorf("%d starts refused for their tickets, want 0", got)
 		}
--- a/scheduler/first_calls_test.go
+++ b/scheduler/first_calls_test.go
@@ -32,24 +32,24 @@
 
 // A new owner takes in finished tasks before discovery lists any worker.
 func TestSuccessorDoesNotWaitForDiscovery(t *testing.T) {
-	inCell(t, 6, func(c *cell) {
+	withCell(t, 6, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
-		if err := c.submit(o, "job", jobOf(6, 8000), work(time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(6, 8000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(500 * time.Millisecond)
 		c.fleet.Unlist(true)
 		o.kill()
-		next := c.rule()
-		c.await(next, "job", workload.Completed, time.Second)
+		next := c.startOwner()
+		c.awaitState(next, "job", workload.Completed, time.Second)
 		c.fleet.Unlist(false)
 		time.Sleep(time.Second)
-		if err := c.submit(next, "another", jobOf(6, 8000), work(time.Second)); err != nil {
+		if err := c.submit(next, "another", newRequest(6, 8000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(next, "another", workload.Completed, 3*time.Second)
+		c.awaitState(next, "another", workload.Completed, 3*time.Second)
 	})
 }
 
@@ -60,7 +60,7 @@
 		workers = 400
 		within  = 500 * time.Millisecond
 	)
-	inCell(t, workers, func(c *cell) {
+	withCell(t, workers, func(c *cell) {
 		var mu sync.Mutex
 		called := map[string]bool{}
 		c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
@@ -69,7 +69,7 @@
 			called[worker] = true
 			return fleettest.Fault{Lost: worker[len(worker)-1]%2 == 0}
 		})
-		c.rule()
+		c.startOwner()
 		time.Sleep(within)
 		mu.Lock()
 		defer mu.Unlock()
@@ -88,10 +88,10 @@
 		// concurrentCalls is how many first calls may go out before the busy workers are queued.
 		concurrentCalls = 32
 	)
-	inCell(t, workers, func(c *cell) {
-		o := c.rule()
+	withCell(t, workers, func(c *cell) {
+		o := c.startOwner()
 		time.Sleep(2 * time.Second)
-		if err := c.submit(o, "job", jobOf(tasks, 8000), work(3*time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(tasks, 8000), succeedAfter(3*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -101,7 +101,7 @@
 		}
 		o.kill()
 		order := c.recordFirstCalls()
-		next := c.rule()
+		next := c.startOwner()
 		time.Sleep(time.Second)
 		called := order()
 		if len(called) != workers {
@@ -116,6 +116,6 @@
 		if limit := len(busy) + concurrentCalls; last >= limit {
 			t.Errorf("the last of %d busy workers was called after %d others, want fewer than %d", len(busy), last, limit)
 		}
-		c.await(next, "job", workload.Completed, 5*time.Second)
+		c.awaitState(next, "job", workload.Completed, 5*time.Second)
 	})
 }
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -28,22 +28,22 @@
 	return max(0, count)
 }
 
-// share is a worker and how many tasks it can take.
-type share struct {
+// workerSlots is a worker and how many tasks it can take.
+type workerSlots struct {
 	worker *worker
-	tasks  int
+	slots  int
 	score  float64 // lower is better
 }
 
 // placeAllOrNothing places either all waiting tasks of a step or none. It is used for gangs
 // and for steps that prefer a single rack.
 func (s *Scheduler) placeAllOrNothing(p *pass, c candidate) {
-	if c.step.tried >= p.lastGrowth[c.step.job.record.Queue.Service] {
+	if c.step.lastFullPass >= p.lastGrowth[c.step.job.record.Queue.Service] {
 		s.blockWorkersFor(p, c)
 		return
 	}
 	p.withheld = false
-	c.tasks = c.waiting()
+	c.tasks = c.placeableTasks()
 	shares := s.slotsByWorker(p, c)
 	if c.step.spec.SameRack {
 		shares = preferSingleRack(shares, len(c.tasks))
@@ -54,7 +54,7 @@
 		s.blockWorkersFor(p, c)
 		return
 	}
-	if c.step.suspected && !claim(p, c, shares) {
+	if c.step.suspected && !reserveForTrial(p, c, shares) {
 		return
 	}
 	c.step.releaseReservations()
@@ -64,7 +64,7 @@
 	}
 	next := 0
 	for _, part := range shares {
-		for range part.tasks {
+		for range part.slots {
 			if next == len(c.tasks) {
 				return
 			}
@@ -74,31 +74,31 @@
 	}
 }
 
-func (s *Scheduler) slotsByWorker(p *pass, c candidate) []share {
-	var shares []share
-	c.step.options(p, func(w *worker) {
+func (s *Scheduler) slotsByWorker(p *pass, c candidate) []workerSlots {
+	var shares []workerSlots
+	c.step.eachEligibleWorker(p, func(w *worker) {
 		if slots := p.slots(c, w); slots > 0 {
-			shares = append(shares, share{w, slots, s.workerScore(c.step, w, p.now) - c.step.claimed(w, p.now)})
+			shares = append(shares, workerSlots{w, slots, s.workerScore(c.step, w, p.now) - c.step.trialScore(w, p.now)})
 		}
 	})
 	return shares
 }
 
-func totalTasks(shares []share) int {
+func totalTasks(shares []workerSlots) int {
 	total := 0
 	for _, part := range shares {
-		total += part.tasks
+		total += part.slots
 	}
 	return total
 }
 
 // byScore orders shares by ascending score, then by worker ID.
-func byScore(a, b share) int {
+func byScore(a, b workerSlots) int {
 	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.worker.info.ID, b.worker.info.ID))
 }
 
 // sortIfSufficient returns the shares sorted by score, or nil if they cannot take all tasks.
-func sortIfSufficient(shares []share, tasks int) []share {
+func sortIfSufficient(shares []workerSlots, tasks int) []workerSlots {
 	if totalTasks(shares) < tasks {
 		return nil
 	}
@@ -108,13 +108,13 @@
 
 // preferSingleRack returns the shares of the rack with the least capacity that can take all
 // tasks, or all shares if no rack can.
-func preferSingleRack(shares []share, tasks int) []share {
-	racks := map[string][]share{}
+func preferSingleRack(shares []workerSlots, tasks int) []workerSlots {
+	racks := map[string][]workerSlots{}
 	totals := map[string]int{}
 	for _, part := range shares {
 		rack := part.worker.info.Rack
 		racks[rack] = append(racks[rack], part)
-		totals[rack] += part.tasks
+		totals[rack] += part.slots
 	}
 	best := ""
 	for rack, total := range totals {
@@ -136,13 +136,13 @@
 	}
 	var eligible []*worker
 	for _, w := range p.pools[c.step.job.record.Queue.Service] {
-		mayRun := !c.step.job.record.Queue.Advice.Needed() || c.step.advice.at[w] != nil
+		mayRun := !c.step.job.record.Queue.Advice.Needed() || c.step.advice.byWorker[w] != nil
 		if mayRun && c.step.allows(w) && !p.blocked[w] {
 			eligible = append(eligible, w)
 		}
 	}
 	slices.SortFunc(eligible, func(a, b *worker) int { return cmp.Compare(b.free().CPU, a.free().CPU) })
-	left := len(c.waiting())
+	left := len(c.placeableTasks())
 	for _, w := range eligible {
 		if left <= 0 {
 			break
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -21,8 +21,8 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 8, func(c *cell) {
-				o := c.rule()
+			withCell(t, 8, func(c *cell) {
+				o := c.startOwner()
 				time.Sleep(time.Second)
 				var faultySince time.Time
 				faulty := ""
@@ -35,10 +35,10 @@
 					}
 					return fleettest.Fault{}
 				})
-				if err := c.submit(o, "gang", gangOf(6, 9_000), work(time.Second)); err != nil {
+				if err := c.submit(o, "gang", newGangRequest(6, 9_000), succeedAfter(time.Second)); err != nil {
 					t.Fatal(err)
 				}
-				c.await(o, "gang", workload.Completed, 14*time.Second)
+				c.awaitState(o, "gang", workload.Completed, 14*time.Second)
 				if got := c.fleet.Alone(); got != 0 {
 					t.Errorf("%d gang members timed out waiting for the others, want 0", got)
 				}
--- a/scheduler/gaps.go
+++ b/scheduler/gaps.go
@@ -7,9 +7,9 @@
 	"chutereach/resource"
 )
 
-// noteDemand records the gangs of a newly accepted job as demand. Gangs of priority 0 are
+// recordGangDemand records the gangs of a newly accepted job as demand. Gangs of priority 0 are
 // ignored: they are small, and preempt other work instead of waiting.
-func (s *Scheduler) noteDemand(j *job, now time.Time) {
+func (s *Scheduler) recordGangDemand(j *job, now time.Time) {
 	queue := j.record.Queue
 	if queue.Priority == 0 {
 		return
@@ -21,8 +21,8 @@
 	}
 }
 
-// countGaps computes the headroom for gangs on the usable workers of each service.
-func (p *pass) countGaps(demands map[string]headroom.Demand) {
+// countHeadroom computes the headroom for gangs on the usable workers of each service.
+func (p *pass) countHeadroom(demands map[string]headroom.Demand) {
 	for service, demand := range demands {
 		gaps := demand.GapsAt(p.now)
 		for _, w := range p.pools[service] {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -37,8 +37,8 @@
 	case outcome == fleet.Done:
 		h.reliability = h.reliability.WithDone()
 	case outcome != fleet.Failed || t.state == taskStopping:
-	case t.failedOn != nil && t.failedOn != t.worker:
-		t.failedOn.health.reliability = t.failedOn.health.reliability.WithForgiven()
+	case t.lastFailedOn != nil && t.lastFailedOn != t.worker:
+		t.lastFailedOn.health.reliability = t.lastFailedOn.health.reliability.WithForgiven()
 	default:
 		h.reliability = h.reliability.WithFailed(t.step.job.id, now)
 		s.logIfQuarantined(t.worker, now)
@@ -59,21 +59,23 @@
 // seem to fail, failures do not tell them from healthy ones, and all are used.
 const maxAvoidedFraction = 0.25
 
-// relies reports whether the worker's reliability permits placing a task on it.
-func (p *pass) relies(w *worker, precious bool) bool {
+// trusts reports whether the worker's reliability permits placing a task on it.
+func (p *pass) trusts(w *worker, precious bool) bool {
 	if w.standing == reliability.Sound || p.sparing[w.info.Service].tooManyAvoided() {
 		return true // fast path: checked for each worker and step
 	}
 	return w.standing.Takes(reliability.Work{Precious: precious, Beside: len(w.tasks)})
 }
 
-// sparing counts the usable workers of a service and those that are avoided.
-type sparing struct{ all, spared int }
+// poolCounts counts the usable workers of a service and those that are avoided.
+type poolCounts struct{ usable, avoided int }
 
-func (s sparing) tooManyAvoided() bool { return float64(s.spared) > maxAvoidedFraction*float64(s.all) }
+func (s poolCounts) tooManyAvoided() bool {
+	return float64(s.avoided) > maxAvoidedFraction*float64(s.usable)
+}
 
-// last reports whether another failure of the task fails its job.
-func (t *task) last() bool {
+// onLastAttempt reports whether another failure of the task fails its job.
+func (t *task) onLastAttempt() bool {
 	return !t.step.spec.Lasting && t.failures+1 >= t.step.job.record.Queue.Attempts
 }
 
@@ -102,18 +104,18 @@
 // sampleProgress derives a speed sample from the progress that a worker reports for a task.
 func (s *Scheduler) sampleProgress(t *task, percent int, now time.Time) {
 	if t.sampledAt.IsZero() {
-		t.sampledAt, t.sampled = now, percent
+		t.sampledAt, t.sampledPercent = now, percent
 		return
 	}
 	elapsed := now.Sub(t.sampledAt)
 	if elapsed < minSampleInterval || t.step.spec.Estimate == 0 || t.step.spec.Lasting || t.step.spec.Gang {
 		return
 	}
-	moved := float64(percent-t.sampled) / 100 * float64(t.step.spec.Estimate)
+	moved := float64(percent-t.sampledPercent) / 100 * float64(t.step.spec.Estimate)
 	speed := max(0, moved/float64(elapsed))
 	t.worker.health.addSpeed(speed, now)
 	s.fleetSpeed += (min(maxSampleSpeed, speed) - s.fleetSpeed) * fleetSpeedWeight
-	t.sampledAt, t.sampled = now, percent
+	t.sampledAt, t.sampledPercent = now, percent
 }
 
 // fleetSpeedWeight is the weight of the newest sample in the fleet's mean speed.
@@ -121,7 +123,7 @@
 
 // stalled reports whether a task has made no progress within its stall timeout.
 func (s *Scheduler) stalled(t *task, now time.Time) bool {
-	if !s.percentSeen || t.state != taskRunning || t.step.spec.Lasting || t.step.spec.Estimate == 0 {
+	if !s.progressSeen || t.state != taskRunning || t.step.spec.Lasting || t.step.spec.Estimate == 0 {
 		return false
 	}
 	urgent := t.step.job.record.Queue.Priority == 0
@@ -129,15 +131,15 @@
 		return false // another member may be the cause, and a restart loses the work of all
 	}
 	timeout := max(minStallTimeout, time.Duration(stallTimeoutFraction*float64(t.step.spec.Estimate)))
-	return now.Sub(t.movedAt) > timeout && now.Sub(t.begunAt) > timeout
+	return now.Sub(t.progressedAt) > timeout && now.Sub(t.startedAt) > timeout
 }
 
 // shouldMoveOffSlowWorker reports whether an urgent task has made little progress on a slow worker
 // and is to be restarted elsewhere.
 func (s *Scheduler) shouldMoveOffSlowWorker(t *task, now time.Time) bool {
 	spec := t.step.spec
-	return t.state == taskRunning && t.step.job.record.Queue.Priority == 0 && !spec.Gang && !spec.Lasting && !t.movedOnce && !t.crashes.Numbered() &&
-		t.percent < slowCheckPercent && now.Sub(t.begunAt) > slowCheckDelay && t.worker.health.slowness(s.fleetSpeed, now) > slowThreshold
+	return t.state == taskRunning && t.step.job.record.Queue.Priority == 0 && !spec.Gang && !spec.Lasting && !t.moved && !t.crashes.Numbered() &&
+		t.percent < slowCheckPercent && now.Sub(t.startedAt) > slowCheckDelay && t.worker.health.slowness(s.fleetSpeed, now) > slowThreshold
 }
 
 const (
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -42,23 +42,23 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 6, func(c *cell) {
+			withCell(t, 6, func(c *cell) {
 				c.queue.Priority = 0
 				var p startCounter
 				p.attach(c)
 				c.fleet.SetSick("w-03", test.plan)
-				o := c.rule()
+				o := c.startOwner()
 				var ids []string
 				for i := range 120 {
 					id := fmt.Sprintf("job-%03d", i)
 					ids = append(ids, id)
-					if err := c.submit(o, id, jobOf(2, 1000), work(600*time.Millisecond)); err != nil {
+					if err := c.submit(o, id, newRequest(2, 1000), succeedAfter(600*time.Millisecond)); err != nil {
 						t.Fatal(err)
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
 				for _, id := range ids {
-					c.await(o, id, workload.Completed, 10*time.Second)
+					c.awaitState(o, id, workload.Completed, 10*time.Second)
 				}
 				p.mu.Lock()
 				defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 
 // A failed task is retried on another worker.
 func TestFailedTaskMovesToAnotherWorker(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
+	withCell(t, 2, func(c *cell) {
 		c.queue.Attempts = 2
 		var mu sync.Mutex
 		var workers []string
@@ -84,17 +84,17 @@
 			}
 			return fleettest.Fault{}
 		})
-		o := c.rule()
+		o := c.startOwner()
 		plan := func(_ workload.TaskID, attempt int) fleettest.Plan {
 			if attempt == 1 {
 				return fleettest.Plan{Work: 100 * time.Millisecond, Outcome: fleet.Failed}
 			}
 			return fleettest.Plan{Work: 100 * time.Millisecond}
 		}
-		if err := c.submit(o, "job", jobOf(1, 1000), plan); err != nil {
+		if err := c.submit(o, "job", newRequest(1, 1000), plan); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Completed, 3*time.Second)
+		c.awaitState(o, "job", workload.Completed, 3*time.Second)
 		mu.Lock()
 		defer mu.Unlock()
 		if len(workers) != 2 || workers[0] == workers[1] {
@@ -106,27 +106,27 @@
 // On a full fleet, workers that fail every attempt quickly are the ones with free capacity. They
 // must not exhaust the attempts of large jobs.
 func TestFailingWorkersOnAFullFleet(t *testing.T) {
-	inCell(t, 20, func(c *cell) {
+	withCell(t, 20, func(c *cell) {
 		c.queue.Attempts = 2
 		for _, unhealthy := range []string{"w-04", "w-11"} {
 			c.fleet.SetSick(unhealthy, fleettest.Plan{Work: 40 * time.Millisecond, Outcome: fleet.Failed})
 		}
 		var p startCounter
 		p.attach(c)
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		var ids []string
 		for i := range 40 { // exceeds the capacity of the fleet
 			id := fmt.Sprintf("job-%03d", i)
 			ids = append(ids, id)
-			if err := c.submit(o, id, jobOf(24, 4000), work(800*time.Millisecond)); err != nil {
+			if err := c.submit(o, id, newRequest(24, 4000), succeedAfter(800*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
 		failed := 0
 		for _, id := range ids {
-			failed += c.failedOf(o, id)
+			failed += c.awaitFinal(o, id)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -136,8 +136,8 @@
 	})
 }
 
-// failedOf waits until a job is final, and returns 1 if it has failed.
-func (c *cell) failedOf(o *owner, id string) int {
+// awaitFinal waits until a job is final, and returns 1 if it has failed.
+func (c *cell) awaitFinal(o *owner, id string) int {
 	for range 3000 {
 		state, err := o.State(c.ctx, id)
 		if err == nil && state.Final() {
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -14,9 +14,9 @@
 	holdWait = time.Second
 	// holdGrace is added to the long-poll timeout to get the timeout of the call.
 	holdGrace = 400 * time.Millisecond
-	// holdPause is the delay after a failed call, and persistTimeout the longest delay after a call
+	// holdRetryDelay is the delay after a failed call, and persistTimeout the longest delay after a call
 	// that reported ends, to have them stored.
-	holdPause      = 200 * time.Millisecond
+	holdRetryDelay = 200 * time.Millisecond
 	persistTimeout = 300 * time.Millisecond
 	// finalExtensionMargin is how long before an owner must stop extending leases it extends them
 	// for the last time.
@@ -29,7 +29,7 @@
 	lossyWait  = 250 * time.Millisecond
 	lossyGrace = 100 * time.Millisecond
 	// reportMaxAge is the maximum age of the last report of a worker that gets new tasks.
-	reportMaxAge = holdWait + holdGrace + holdPause
+	reportMaxAge = holdWait + holdGrace + holdRetryDelay
 	// clockDrift and clockSlack extend a lease that is measured by another clock.
 	clockDrift = 0.03
 	clockSlack = 200 * time.Millisecond
@@ -79,7 +79,7 @@
 		wait.For(ctx, s.retryDelay(w))
 		return ctx.Err() == nil
 	}
-	if s.takeReport(w, result.report, result.sent) {
+	if s.handleReport(w, result.report, result.sent) {
 		s.awaitPersisted(ctx, w)
 	}
 	return ctx.Err() == nil
@@ -100,10 +100,10 @@
 	defer s.mu.Unlock()
 	timeout := order.Wait + holdGrace
 	if s.answers.lossy {
-		timeout = order.Wait + max(lossyGrace, s.answers.limit())
+		timeout = order.Wait + max(lossyGrace, s.answers.timeout())
 	}
-	timeout += s.patience()
-	if remaining := time.Until(w.leaseExpiry); w.failing && remaining > 0 {
+	timeout += s.latenessAllowance()
+	if remaining := time.Until(w.leaseExpiry); w.unresponsive && remaining > 0 {
 		timeout = min(timeout, remaining+time.Millisecond)
 	}
 	return timeout
@@ -122,29 +122,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), Noted: w.acknowledged(), Wait: holdWait}
+	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), Noted: w.ackableSequence(), Wait: holdWait}
 	if s.answers.lossy {
 		order.Wait = lossyWait
 	}
 	if w.trial.step != nil {
 		order.Wait = min(order.Wait, trialWait)
 	}
-	first := w.contact.IsZero()
-	if first || w.failing || len(w.pendingEnds) > 0 {
+	first := w.lastReportAt.IsZero()
+	if first || w.unresponsive || len(w.pendingEnds) > 0 {
 		order.Wait = 0
 	}
-	remaining := confirmedFor - s.term.Unconfirmed()
+	remaining := leaseExtensionWindow - s.term.Unconfirmed()
 	if remaining < 0 {
 		order.Wait = min(order.Wait, unconfirmedWait)
 	}
-	if w.failing || first || remaining < 0 {
+	if w.unresponsive || first || remaining < 0 {
 		return order, now
 	}
 	if remaining > finalExtensionMargin && remaining < holdWait {
 		order.Wait = min(order.Wait, remaining-finalExtensionMargin) // returns in time for a final extension
 	}
-	order.Deadline = w.clockNow(now) + fleet.Clock(s.lease.Milliseconds())
-	w.extends(now, s.lease)
+	order.Deadline = w.estimateClock(now) + fleet.Clock(s.lease.Milliseconds())
+	w.extendLeaseBound(now, s.lease)
 	return order, now
 }
 
@@ -154,13 +154,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.failedCalls++
-	if w.failedCalls == 1 && !w.contact.IsZero() && s.lateness() < lateThreshold {
+	if w.failedCalls == 1 && !w.lastReportAt.IsZero() && s.lateness() < lateThreshold {
 		return 0 // a single call may have been lost
 	}
 	if remaining := time.Until(w.leaseExpiry); remaining > 0 {
-		return min(holdPause, remaining)
+		return min(holdRetryDelay, remaining)
 	}
-	return holdPause
+	return holdRetryDelay
 }
 
 // handleHoldFailure processes a failed call and reports whether the worker's life has ended.
@@ -169,7 +169,7 @@
 	defer s.mu.Unlock()
 	var refused *fleet.RefusedError
 	if errors.As(err, &refused) && refused.Reason == fleet.Fenced {
-		return s.fenced(w, order.Token)
+		return s.handleFenced(w, order.Token)
 	}
 	var replaced *fleet.ReplacedError
 	if errors.As(err, &replaced) {
@@ -177,9 +177,9 @@
 		return true
 	}
 	s.markTokenStale(w.info.ID)
-	if !w.failing {
-		s.noteAnswer(false)
-		w.failing, w.unresponsiveSince, w.connectionClosed = true, time.Now(), fleet.IsClosed(err)
+	if !w.unresponsive {
+		s.recordCallResult(false)
+		w.unresponsive, w.unresponsiveSince, w.connectionClosed = true, time.Now(), fleet.IsClosed(err)
 		if w.connectionClosed {
 			s.recordDisconnect(w, w.unresponsiveSince)
 		}
@@ -187,7 +187,7 @@
 	}
 	if time.Now().After(w.leaseExpiry) {
 		s.expireAttempts(w, "lease expired")
-		if !w.known {
+		if !w.discovered {
 			s.endLife(w, "removed from discovery, and its lease has expired")
 			return true
 		}
@@ -209,20 +209,20 @@
 
 // endLife ends all attempts on a worker and removes it. The caller must hold s.mu.
 func (s *Scheduler) endLife(w *worker, why string) {
-	if w.over {
+	if w.ended {
 		return
 	}
-	w.over = true
+	w.ended = true
 	s.expireAttempts(w, why)
-	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", attemptNames(w.lost)).Bool("leaving", w.leaving).
-		Dur("silent", time.Since(w.contact)).Msg("worker life ended")
+	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", attemptNames(w.lostAttempts)).Bool("leaving", w.leaving).
+		Dur("silent", time.Since(w.lastReportAt)).Msg("worker life ended")
 	s.countLost(w)
 	if w.cancel != nil {
 		w.cancel()
 	}
 	s.removeLife(w)
-	if w.known && !s.sharesDiscoveryEntry(w) {
-		s.past[w.discoveredLife] = true
+	if w.discovered && !s.sharesDiscoveryEntry(w) {
+		s.endedLives[w.discoveredLife] = true
 	}
 	wake(s.dispatchWake)
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -23,27 +23,27 @@
 
 // task is one task of a step.
 type task struct {
-	step       *step
-	index      int
-	state      taskState
-	attempt    int
-	failures   int
-	worker     *worker // where the attempt is or may be; nil if nowhere
-	checkpoint string
-	ticket     string
-	begunAt    time.Time // when the worker confirmed the attempt
-	stoppedAt  time.Time // when the worker confirmed a stop
-	recovered  bool      // granted by a former owner and not yet reported by its worker
-	percent    int
-	movedAt    time.Time // when percent last increased or the attempt began
-	sampledAt  time.Time // time of the last speed sample
-	sampled    int       // percent at sampledAt
-	failedOn   *worker   // worker of the last failure
-	movedOnce  bool      // moved off a slow worker
-	preempted  int       // number of preemptions
-	told       bool      // the start may have reached the worker
-	cutShort   bool      // the connection closed during the start call, as when the worker's process exits
-	crashes    workload.Crashes
+	step                  *step
+	index                 int
+	state                 taskState
+	attempt               int
+	failures              int
+	worker                *worker // where the attempt is or may be; nil if nowhere
+	checkpoint            string
+	ticket                string
+	startedAt             time.Time // when the worker confirmed the attempt
+	stoppedAt             time.Time // when the worker confirmed a stop
+	recovered             bool      // granted by a former owner and not yet reported by its worker
+	percent               int
+	progressedAt          time.Time // when percent last increased or the attempt began
+	sampledAt             time.Time // time of the last speed sample
+	sampledPercent        int       // percent at sampledAt
+	lastFailedOn          *worker   // worker of the last failure
+	moved                 bool      // moved off a slow worker
+	preemptions           int       // number of preemptions
+	startSent             bool      // the start may have reached the worker
+	startConnectionClosed bool      // the connection closed during the start call, as when the worker's process exits
+	crashes               workload.Crashes
 }
 
 func (t *task) id() workload.TaskID {
@@ -64,56 +64,56 @@
 
 // step is one step of a round.
 type step struct {
-	job    *job
-	round  int
-	index  int
-	spec   *workload.Step
-	tasks  []*task
-	left   int // tasks not done
-	advice adviceState
+	job       *job
+	round     int
+	index     int
+	spec      *workload.Step
+	tasks     []*task
+	tasksLeft int // tasks not done
+	advice    adviceState
 	// onWorker is the number of the step's tasks on each worker.
 	onWorker map[*worker]int
-	// heldAt is when the account's quota began to hold the step back; zero if it does not.
-	heldAt time.Time
+	// quotaHeldSince is when the account's quota began to hold the step back; zero if it does not.
+	quotaHeldSince time.Time
 	// retryAt is the earliest time to place tasks again, after a failure or refusal.
 	retryAt time.Time
-	// tried is the serial of the last pass that found no capacity for more tasks.
+	// lastFullPass is the serial of the last pass that found no capacity for more tasks.
 	// mayPreempt is whether the last pass allowed the step to preempt other tasks.
-	tried      uint64
-	mayPreempt bool
+	lastFullPass uint64
+	mayPreempt   bool
 	// reserved are the workers with capacity reserved for the step until roomUntil.
-	reserved  []*worker
-	roomUntil time.Time
+	reserved      []*worker
+	reservedUntil time.Time
 	// suspected is whether a task of the step may have crashed its worker, and passed
 	// whether a worker has since survived a trial of the step.
-	suspected bool
-	passed    bool
+	suspected   bool
+	trialPassed bool
 }
 
-func (st *step) done() bool { return st.left == 0 }
+func (st *step) done() bool { return st.tasksLeft == 0 }
 
 // setMayPreempt sets mayPreempt. When it becomes true, the next pass considers all
 // workers again.
 func (st *step) setMayPreempt(allowed bool) {
 	if allowed && !st.mayPreempt {
-		st.tried = 0
+		st.lastFullPass = 0
 	}
 	st.mayPreempt = allowed
 }
 
-// waiting returns the tasks that can be placed.
-func (st *step) waiting() []*task {
+// placeableTasks returns the tasks that can be placed.
+func (st *step) placeableTasks() []*task {
 	var list []*task
 	for _, t := range st.tasks {
-		if t.mayStart() {
+		if t.placeable() {
 			list = append(list, t)
 		}
 	}
 	return list
 }
 
-// mayStart reports whether the task can be placed now.
-func (t *task) mayStart() bool { return t.state == taskWaiting && !t.crashes.Held() }
+// placeable reports whether the task can be placed now.
+func (t *task) placeable() bool { return t.state == taskWaiting && !t.crashes.Held() }
 
 // anyHeldByLoss reports whether a task waits until it is known whether its lost worker
 // has ended.
@@ -121,9 +121,9 @@
 	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.state != taskDone && t.crashes.Held() })
 }
 
-// anyWaiting reports whether a task can be placed.
-func (st *step) anyWaiting() bool {
-	return slices.ContainsFunc(st.tasks, (*task).mayStart)
+// anyPlaceable reports whether a task can be placed.
+func (st *step) anyPlaceable() bool {
+	return slices.ContainsFunc(st.tasks, (*task).placeable)
 }
 
 // idle reports whether no task of the step occupies capacity on a worker.
@@ -147,35 +147,35 @@
 
 // job is the in-memory state of a job.
 type job struct {
-	id      string
-	record  workload.Record
-	account *accountState
-	beyond  bool // it exceeds its account's fair share
-	hosted  int  // tasks that occupy capacity on workers
+	id        string
+	record    workload.Record
+	account   *accountState
+	overShare bool // it exceeds its account's fair share
+	hosted    int  // tasks that occupy capacity on workers
 	// idleSince is when its last task left its worker, initially its arrival.
-	idleSince time.Time
-	rounds    []*round
-	left      int // rounds not done
-	state     workload.State
-	begun     bool
-	finalAt   int64
-	arrived   time.Time
-	deadline  time.Time // completion objective
+	idleSince  time.Time
+	rounds     []*round
+	roundsLeft int // rounds not done
+	state      workload.State
+	started    bool
+	finalAt    int64
+	arrived    time.Time
+	deadline   time.Time // completion objective
 
 	// generation is the number of the last change, and saved that of the last change in
 	// the store.
-	generation uint64
-	saved      uint64
-	savedState workload.State
-	queued     bool      // in Scheduler.dirty
-	sent       bool      // included in a transaction at least once
-	withdrawn  bool      // its submitter was told that it was not accepted
-	inserted   bool      // the store has a row for the record
-	forgotten  bool      // expired; its rows are to be deleted
-	bundle     *bundle   // holds its latest progress; nil if that is in a row of its own
-	inherited  []*bundle // bundles of former owners that may hold its latest progress
-	afterSave  []saveAction
-	ended      chan struct{} // closed once the job is final in memory
+	generation       uint64
+	saved            uint64
+	savedState       workload.State
+	queued           bool      // in Scheduler.dirty
+	sent             bool      // included in a transaction at least once
+	withdrawn        bool      // its submitter was told that it was not accepted
+	inserted         bool      // the store has a row for the record
+	expired          bool      // expired; its rows are to be deleted
+	bundle           *bundle   // holds its latest progress; nil if that is in a row of its own
+	inheritedBundles []*bundle // bundles of former owners that may hold its latest progress
+	afterSave        []saveAction
+	done             chan struct{} // closed once the job is final in memory
 }
 
 // saveAction is a callback that runs, with the lock held, once a generation is in the store.
@@ -185,7 +185,7 @@
 }
 
 func newJob(id string, record workload.Record, account *accountState, now time.Time) *job {
-	j := &job{id: id, record: record, account: account, state: workload.Queued, savedState: workload.Queued, ended: make(chan struct{})}
+	j := &job{id: id, record: record, account: account, state: workload.Queued, savedState: workload.Queued, done: make(chan struct{})}
 	age := now.Sub(time.UnixMilli(record.Accepted))
 	j.arrived = now.Add(-max(0, age))
 	j.deadline = j.arrived.Add(record.Queue.Objective(record.Request))
@@ -193,7 +193,7 @@
 		r := &round{due: record.Request.Due(number)}
 		for i := range record.Request.Steps {
 			st := &step{job: j, round: number, index: i, spec: &record.Request.Steps[i], onWorker: map[*worker]int{}}
-			st.left = st.spec.Count
+			st.tasksLeft = st.spec.Count
 			for index := range st.spec.Count {
 				st.tasks = append(st.tasks, &task{step: st, index: index})
 			}
@@ -202,7 +202,7 @@
 		r.stepsLeft = len(r.steps)
 		j.rounds = append(j.rounds, r)
 	}
-	j.left = len(j.rounds)
+	j.roundsLeft = len(j.rounds)
 	j.idleSince = j.arrived
 	return j
 }
@@ -227,7 +227,7 @@
 
 // allRunning reports whether the job has started and all its unfinished tasks are running.
 func (j *job) allRunning() bool {
-	if j.state.Final() || !j.begun {
+	if j.state.Final() || !j.started {
 		return false
 	}
 	for _, r := range j.rounds {
@@ -242,16 +242,16 @@
 	return true
 }
 
-// chainLeft returns the estimated duration of the longest chain of steps not done.
-func (r *round) chainLeft(request *workload.Request) time.Duration {
+// remainingChain returns the estimated duration of the longest chain of steps not done.
+func (r *round) remainingChain(request *workload.Request) time.Duration {
 	if !r.remainingValid {
 		r.remaining, r.remainingValid = request.Chain(func(i int) bool { return r.steps[i].done() }), true
 	}
 	return r.remaining
 }
 
-// find returns the task with an ID, or nil if the job has none.
-func (j *job) find(id workload.TaskID) *task {
+// findTask returns the task with an ID, or nil if the job has none.
+func (j *job) findTask(id workload.TaskID) *task {
 	if id.Round >= len(j.rounds) || id.Step >= len(j.rounds[id.Round].steps) {
 		return nil
 	}
@@ -287,21 +287,21 @@
 	}
 	t.state = taskDone
 	st := t.step
-	st.left--
-	if st.left > 0 {
+	st.tasksLeft--
+	if st.tasksLeft > 0 {
 		return
 	}
 	r := st.job.rounds[st.round]
 	r.stepsLeft--
 	r.remainingValid = false
 	if r.stepsLeft == 0 {
-		st.job.left--
+		st.job.roundsLeft--
 	}
 }
 
 // progress returns the job's progress as it is stored.
 func (j *job) progress() workload.Progress {
-	p := workload.Progress{State: j.state, Begun: j.begun, FinalAt: j.finalAt, Generation: j.generation}
+	p := workload.Progress{State: j.state, Begun: j.started, FinalAt: j.finalAt, Generation: j.generation}
 	if j.state.Final() {
 		p.Account = j.record.Account.Name
 	}
@@ -346,7 +346,7 @@
 // restore applies stored progress to a new job. hosts returns the worker for a life,
 // creating it if necessary.
 func (j *job) restore(p workload.Progress, hosts func(life fleet.Life, address string) *worker) {
-	j.state, j.savedState, j.begun, j.finalAt = p.State, p.State, p.Begun, p.FinalAt
+	j.state, j.savedState, j.started, j.finalAt = p.State, p.State, p.Begun, p.FinalAt
 	j.generation, j.saved = max(1, p.Generation), max(1, p.Generation)
 	for _, sp := range p.Steps {
 		if sp.Round >= len(j.rounds) || sp.Step >= len(j.rounds[sp.Round].steps) {
@@ -370,12 +370,12 @@
 		t.attempt, t.failures, t.checkpoint, t.crashes = tp.Attempt, tp.Failures, tp.Checkpoint, tp.Crashes
 		st.suspected = st.suspected || t.crashes.Suspect
 		if tp.Worker != "" {
-			hosts(fleet.Life{ID: tp.Worker, Born: tp.Born}, tp.Address).host(t, taskStarting)
-			t.recovered, t.told = true, true
+			hosts(fleet.Life{ID: tp.Worker, Born: tp.Born}, tp.Address).assign(t, taskStarting)
+			t.recovered, t.startSent = true, true
 		}
 		for _, lost := range t.crashes.Open {
 			w := hosts(lost.Life(), "")
-			w.lost = append(w.lost, lostAttempt{t, t.attempt})
+			w.lostAttempts = append(w.lostAttempts, lostAttempt{t, t.attempt})
 		}
 	}
 }
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -24,50 +24,50 @@
 	reservedCheapShare = 0.25
 )
 
-// Lane is a node through which advice can be requested. The advisor serves one call at a
+// AdviceNode is a node through which advice can be requested. The advisor serves one call at a
 // time from each node.
-type Lane struct {
+type AdviceNode struct {
 	Node    string
 	Self    bool
 	Advisor fleet.Advisor
 }
 
-type lane struct {
-	Lane
+type adviceNode struct {
+	AdviceNode
 	pendingCost   time.Duration // total cost of the calls in flight
 	hasCostlyCall bool          // an expensive call is in flight
 	pausedUntil   time.Time     // no calls until then, after a failure
 }
 
-// SetLanes sets the nodes through which advice can be requested. Nodes that remain keep their
+// SetAdviceNodes sets the nodes through which advice can be requested. Nodes that remain keep their
 // pending calls.
-func (s *Scheduler) SetLanes(list []Lane) {
+func (s *Scheduler) SetAdviceNodes(list []AdviceNode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	former := map[string]*lane{}
-	for _, l := range s.lanes {
+	former := map[string]*adviceNode{}
+	for _, l := range s.adviceNodes {
 		former[l.Node] = l
 	}
-	s.lanes = nil
+	s.adviceNodes = nil
 	for _, l := range list {
 		if old := former[l.Node]; old != nil {
-			old.Lane = l
-			s.lanes = append(s.lanes, old)
+			old.AdviceNode = l
+			s.adviceNodes = append(s.adviceNodes, old)
 		} else {
-			s.lanes = append(s.lanes, &lane{Lane: l})
+			s.adviceNodes = append(s.adviceNodes, &adviceNode{AdviceNode: l})
 		}
 	}
 	wake(s.dispatchWake)
 }
 
 // chooseAdviceNode returns the node for a call of the given cost, or nil if none can take it.
-func (s *Scheduler) chooseAdviceNode(cost time.Duration, now time.Time) *lane {
+func (s *Scheduler) chooseAdviceNode(cost time.Duration, now time.Time) *adviceNode {
 	if cost > maxCheapCost && !s.allowsCostlyCall(now) {
 		return nil
 	}
 	remote := s.availableRemoteNodes(now)
-	var best *lane
-	for _, l := range s.lanes {
+	var best *adviceNode
+	for _, l := range s.adviceNodes {
 		if now.Before(l.pausedUntil) {
 			continue
 		}
@@ -87,7 +87,7 @@
 // availableRemoteNodes counts the remote nodes that are not paused.
 func (s *Scheduler) availableRemoteNodes(now time.Time) int {
 	remote := 0
-	for _, l := range s.lanes {
+	for _, l := range s.adviceNodes {
 		if !l.Self && now.After(l.pausedUntil) {
 			remote++
 		}
@@ -98,7 +98,7 @@
 // allowsCostlyCall reports whether another expensive call leaves enough nodes for cheap ones.
 func (s *Scheduler) allowsCostlyCall(now time.Time) bool {
 	costly := 0
-	for _, l := range s.lanes {
+	for _, l := range s.adviceNodes {
 		if !l.Self && l.hasCostlyCall && now.After(l.pausedUntil) {
 			costly++
 		}
@@ -109,7 +109,7 @@
 
 // rank orders nodes for a call, lowest first: by pending cost, with the owner's own node
 // preferred for cheap calls.
-func (l *lane) rank(cost time.Duration) time.Duration {
+func (l *adviceNode) rank(cost time.Duration) time.Duration {
 	rank := l.pendingCost
 	if !l.Self && cost <= maxCheapCost {
 		rank += maxCheapCost / 2
@@ -118,7 +118,7 @@
 }
 
 // timeout returns how long a call of the given cost may take.
-func (l *lane) timeout(cost time.Duration) time.Duration {
+func (l *adviceNode) timeout(cost time.Duration) time.Duration {
 	if cost <= maxCheapCost {
 		return l.pendingCost + cost/2 + cheapCallSlack
 	}
@@ -126,12 +126,12 @@
 }
 
 // callStarted records a call in flight, and callEnded its end.
-func (l *lane) callStarted(cost time.Duration) {
+func (l *adviceNode) callStarted(cost time.Duration) {
 	l.pendingCost += cost
 	l.hasCostlyCall = l.hasCostlyCall || cost > maxCheapCost
 }
 
-func (l *lane) callEnded(cost time.Duration) {
+func (l *adviceNode) callEnded(cost time.Duration) {
 	l.pendingCost -= cost
 	if cost > maxCheapCost {
 		l.hasCostlyCall = false
--- a/scheduler/late_end_test.go
+++ b/scheduler/late_end_test.go
@@ -13,11 +13,11 @@
 // unreachable one has expired, and the start is lost. When the first worker then reports the task
 // as done, the capacity reserved on the second must be freed.
 func TestCapacityOfRedundantAttemptIsFreed(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
+	withCell(t, 2, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
-		if err := c.submit(o, "job", jobOf(1, 9000), work(2*time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(1, 9000), succeedAfter(2*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, time.Second)
@@ -28,12 +28,12 @@
 		})
 		time.Sleep(5200 * time.Millisecond) // the lease has expired, and the task is granted to the other worker
 		reachable.Store(true)
-		c.await(o, "job", workload.Completed, 2*time.Second)
+		c.awaitState(o, "job", workload.Completed, 2*time.Second)
 		c.fleet.SetFault(nil)
 		time.Sleep(1500 * time.Millisecond) // the next report
-		if err := c.submit(o, "wide", jobOf(2, 16000), work(500*time.Millisecond)); err != nil {
+		if err := c.submit(o, "wide", newRequest(2, 16000), succeedAfter(500*time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "wide", workload.Completed, 900*time.Millisecond) // both tasks at once
+		c.awaitState(o, "wide", workload.Completed, 900*time.Millisecond) // both tasks at once
 	})
 }
--- a/scheduler/late_report_test.go
+++ b/scheduler/late_report_test.go
@@ -29,18 +29,18 @@
 		t.Fatal(err)
 	}
 	s := New(Config{Shard: "main", Lease: time.Second}, memory.New(), nil, term, NewMetrics(), zerolog.Nop())
-	w := s.enter(fleet.Worker{Life: fleet.Life{ID: "w", Born: 1}, Service: "s"})
+	w := s.addLife(fleet.Worker{Life: fleet.Life{ID: "w", Born: 1}, Service: "s"})
 	queue := workload.Queue{Name: "q", Service: "s", Attempts: 3}
 	request := workload.Request{Steps: []workload.Step{{Count: tasks}}}
 	j := newJob("job", workload.Record{Request: request, Queue: queue}, s.accountOf(account.Terms{}), time.Now())
 	s.jobs[j.id], s.active[j.id] = j, j
 	report := fleet.Report{Born: 1, Clock: 5}
 	for _, task := range j.rounds[0].steps[0].tasks {
-		w.host(task, taskStarting)
-		task.attempt, task.told = 1, true
+		w.assign(task, taskStarting)
+		task.attempt, task.startSent = 1, true
 		report.Running = append(report.Running, fleet.Attempt{Task: task.id().String(), Number: 1})
 	}
-	s.takeReport(w, report, time.Now())
+	s.handleReport(w, report, time.Now())
 	return &reportFixture{s, w, j}
 }
 
@@ -53,11 +53,11 @@
 func TestReportReadAfterWorkerRestart(t *testing.T) {
 	s := newReportFixture(t, 1)
 	sent := time.Now()
-	s.takeReport(s.worker, fleet.Report{Born: 2, Clock: 1}, time.Now())
+	s.handleReport(s.worker, fleet.Report{Born: 2, Clock: 1}, time.Now())
 	if s.job.state.Final() || s.workers[fleet.Life{ID: "w", Born: 2}] == nil || s.workers[s.worker.info.Life] != nil {
 		t.Fatalf("after the restart: the job is %s, the workers are %v; want a running job and only the worker born at 2", s.job.state, s.workers)
 	}
-	s.takeReport(s.worker, fleet.Report{Born: 1, Clock: 6, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0")}}, sent)
+	s.handleReport(s.worker, fleet.Report{Born: 1, Clock: 6, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0")}}, sent)
 	if s.job.state != workload.Completed {
 		t.Errorf("the job is %s, want completed", s.job.state)
 	}
@@ -67,26 +67,26 @@
 // is not considered lost, and its end is not acknowledged before it was read.
 func TestUnreadableReportRow(t *testing.T) {
 	s := newReportFixture(t, 3)
-	s.takeReport(s.worker, fleet.Report{
+	s.handleReport(s.worker, fleet.Report{
 		Born: 1, Clock: 6, Unread: 1, UnreadFrom: 2, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0"), newDoneEnd(3, "job.0.0.2")},
 	}, time.Now())
 	s.job.saved = s.job.generation
-	s.worker.advanceNoted()
-	if got := s.worker.acknowledged(); got != 1 {
+	s.worker.advancePersisted()
+	if got := s.worker.ackableSequence(); got != 1 {
 		t.Errorf("ends up to %d are acknowledged, want 1", got)
 	}
-	if left := s.job.rounds[0].steps[0].left; left != 1 || s.worker.tasks["job.0.0.1"] == nil {
+	if left := s.job.rounds[0].steps[0].tasksLeft; left != 1 || s.worker.tasks["job.0.0.1"] == nil {
 		t.Errorf("%d tasks are left, want 1 with a running attempt", left)
 	}
-	s.takeReport(s.worker, fleet.Report{
+	s.handleReport(s.worker, fleet.Report{
 		Born: 1, Clock: 7, Ended: []fleet.End{newDoneEnd(2, "job.0.0.1"), newDoneEnd(3, "job.0.0.2")},
 	}, time.Now())
-	if got := s.worker.acknowledged(); got != 1 {
+	if got := s.worker.ackableSequence(); got != 1 {
 		t.Errorf("ends up to %d are acknowledged before the store has the end, want 1", got)
 	}
 	s.job.saved = s.job.generation
-	s.worker.advanceNoted()
-	if got := s.worker.acknowledged(); got != 3 || s.job.state != workload.Completed {
+	s.worker.advancePersisted()
+	if got := s.worker.ackableSequence(); got != 3 || s.job.state != workload.Completed {
 		t.Errorf("ends up to %d are acknowledged and the job is %s, want 3 and completed", got, s.job.state)
 	}
 }
--- a/scheduler/later_life_test.go
+++ b/scheduler/later_life_test.go
@@ -14,7 +14,7 @@
 )
 
 // fullWorkerRequest returns a request with one task that takes all CPU of a worker.
-func fullWorkerRequest() workload.Request { return jobOf(1, 16_000) }
+func fullWorkerRequest() workload.Request { return newRequest(1, 16_000) }
 
 // assertStarts checks the number of attempts that the fleet has started.
 func (c *cell) assertStarts(want int) {
@@ -28,23 +28,23 @@
 // already ended the attempt. The stray attempt is stopped, and its capacity is not reassigned
 // before that.
 func TestDelayedStartAfterWorkerRestart(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
+	withCell(t, 1, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		c.injectFault(fleettest.CallStart, fleettest.Fault{Late: 700 * time.Millisecond})
-		if err := c.submit(o, "job", fullWorkerRequest(), work(4*time.Second)); err != nil {
+		if err := c.submit(o, "job", fullWorkerRequest(), succeedAfter(4*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
 		c.fleet.SetFault(nil)
 		c.fleet.StartAgain("w-00", 100*time.Millisecond)
 		time.Sleep(1500 * time.Millisecond)
-		if err := c.submit(o, "next", fullWorkerRequest(), work(time.Second)); err != nil {
+		if err := c.submit(o, "next", fullWorkerRequest(), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Completed, 10*time.Second)
-		c.await(o, "next", workload.Completed, 10*time.Second)
+		c.awaitState(o, "job", workload.Completed, 10*time.Second)
+		c.awaitState(o, "next", workload.Completed, 10*time.Second)
 	})
 }
 
@@ -61,9 +61,9 @@
 // Guards against losing ends of attempts: an acknowledgement sent before a worker's restart, and
 // executed after it, must not make the worker discard ends that the owner has not read.
 func TestDelayedAcknowledgementAfterWorkerRestart(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
+	withCell(t, 1, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		c.runShortTasks(o, "before", 10)
 		c.injectFault(fleettest.CallHold, fleettest.Fault{Late: 1200 * time.Millisecond})
@@ -72,12 +72,12 @@
 		c.fleet.StartAgain("w-00", 50*time.Millisecond)
 		time.Sleep(200 * time.Millisecond)
 		for i := range 8 {
-			if err := c.submit(o, fmt.Sprintf("after-%d", i), jobOf(1, 1000), work(time.Duration(100+100*i)*time.Millisecond)); err != nil {
+			if err := c.submit(o, fmt.Sprintf("after-%d", i), newRequest(1, 1000), succeedAfter(time.Duration(100+100*i)*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for i := range 8 {
-			c.await(o, fmt.Sprintf("after-%d", i), workload.Completed, 5*time.Second)
+			c.awaitState(o, fmt.Sprintf("after-%d", i), workload.Completed, 5*time.Second)
 		}
 		c.assertStarts(18)
 	})
@@ -87,9 +87,9 @@
 // clock, so that the worker runs attempts for up to its longest lease. No task may start elsewhere
 // before that has expired.
 func TestDelayedLeaseAfterWorkerRestart(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
+	withCell(t, 2, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(5 * time.Second)                   // the old clock must be ahead of the new one
 		for i, id := range []string{"w-00", "w-01"} { // discovery keeps the entries from before the restart
 			c.fleet.SetEntry(id, func(w fleet.Worker) fleet.Worker {
@@ -114,30 +114,30 @@
 		time.Sleep(1500 * time.Millisecond) // the delayed call has been executed and has timed out
 		c.fleet.SetEntry("w-00", nil)
 		c.fleet.SetEntry("w-01", nil)
-		if err := c.submit(o, "job", fullWorkerRequest(), work(8*time.Second)); err != nil {
+		if err := c.submit(o, "job", fullWorkerRequest(), succeedAfter(8*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, 2*time.Second)
 		host := c.fleet.HostOf("job.0.0.0")
 		c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault { return fleettest.Fault{Lost: worker == host} })
-		c.await(o, "job", workload.Completed, 30*time.Second)
+		c.awaitState(o, "job", workload.Completed, 30*time.Second)
 	})
 }
 
 // A worker that does not report its start time accepts starts sent before its restart. Attempts
 // that its report lists are not started elsewhere.
 func TestStartReachesRestartedWorker(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
+	withCell(t, 2, func(c *cell) {
 		c.lease = shortLease
 		c.hideBirthTimes()
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(1500 * time.Millisecond)
 		c.restartAllWorkers(60 * time.Millisecond)
 		time.Sleep(10 * time.Millisecond)
-		if err := c.submit(o, "job", jobOf(4, 8_000), work(time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(4, 8_000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Completed, 5*time.Second)
+		c.awaitState(o, "job", workload.Completed, 5*time.Second)
 		c.assertStarts(4)
 	})
 }
@@ -145,18 +145,18 @@
 // Guards against repeating finished tasks: a report sent before the worker's restart counts also
 // when it is processed after the restarted worker has answered.
 func TestLastReportBeforeWorkerRestart(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
+	withCell(t, 2, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
-		if err := c.submit(o, "job", fullWorkerRequest(), work(400*time.Millisecond)); err != nil {
+		if err := c.submit(o, "job", fullWorkerRequest(), succeedAfter(400*time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, time.Second)
 		host := c.fleet.HostOf("job.0.0.0")
 		time.Sleep(430 * time.Millisecond) // the end was reported and its write is under way
 		c.fleet.StartAgain(host, 50*time.Millisecond)
-		c.await(o, "job", workload.Completed, 5*time.Second)
+		c.awaitState(o, "job", workload.Completed, 5*time.Second)
 		c.assertStarts(1)
 	})
 }
@@ -164,12 +164,12 @@
 // A restarted worker gets work soon after its first answer, and attempts lost in the restart are
 // rescheduled without waiting for their lease.
 func TestRestartedWorkerIsReusedPromptly(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
-		c.fleet.Tell(&discoveryNews{c, o})
+		o := c.startOwner()
+		c.fleet.Tell(&discoveryObserver{c, o})
 		time.Sleep(500 * time.Millisecond)
-		if err := c.submit(o, "work", jobOf(40, 8_000), work(time.Hour)); err != nil {
+		if err := c.submit(o, "work", newRequest(40, 8_000), succeedAfter(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(8, time.Second)
@@ -191,15 +191,15 @@
 	})
 }
 
-// discoveryNews passes new workers to an owner at once, like the platform's discovery.
-type discoveryNews struct {
+// discoveryObserver passes new workers to an owner at once, like the platform's discovery.
+type discoveryObserver struct {
 	cell  *cell
 	owner *owner
 }
 
-func (e *discoveryNews) Ended(string)              {}
-func (e *discoveryNews) Gone(string)               {}
-func (e *discoveryNews) Born(string, fleet.Worker) { e.owner.SetWorkers(e.cell.fleet.List()) }
+func (e *discoveryObserver) Ended(string)              {}
+func (e *discoveryObserver) Gone(string)               {}
+func (e *discoveryObserver) Born(string, fleet.Worker) { e.owner.SetWorkers(e.cell.fleet.List()) }
 
 // A task that crashes its workers is given up also if they restart under the same IDs.
 func TestCrashingTaskOnRestartingWorkers(t *testing.T) {
@@ -208,18 +208,18 @@
 			name       string
 			do         func(*cell, *owner) *owner
 			maxCrashes int
-		}{{"undisturbed", undisturbed, 3}, {"with owners killed", killOwnerAfterCrashes, 5}} {
+		}{{"undisturbed", keepOwner, 3}, {"with owners killed", killOwnerAfterCrashes, 5}} {
 			t.Run(fmt.Sprintf("after %v, %s", pause, during.name), func(t *testing.T) {
-				inCell(t, 12, func(c *cell) {
+				withCell(t, 12, func(c *cell) {
 					c.lease = shortLease
 					c.fleet.SetStartAgain(pause)
-					o := c.rule()
+					o := c.startOwner()
 					time.Sleep(500 * time.Millisecond)
-					if err := c.submit(o, "culprit", jobOf(6, 1000), crashingPlan(0)); err != nil {
+					if err := c.submit(o, "culprit", newRequest(6, 1000), crashingPlan(0)); err != nil {
 						t.Fatal(err)
 					}
 					o = during.do(c, o)
-					c.await(o, "culprit", workload.Failed, 30*time.Second)
+					c.awaitState(o, "culprit", workload.Failed, 30*time.Second)
 					time.Sleep(10 * time.Second)
 					c.assertCrashes("culprit.0.0.0", during.maxCrashes)
 				})
@@ -231,9 +231,9 @@
 // Guards against blaming jobs for workers that restart together under the same IDs. See
 // TestCrashWavesFailNoJob for new IDs.
 func TestRestartWavesFailNoJob(t *testing.T) {
-	inCell(t, 24, func(c *cell) {
+	withCell(t, 24, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		rng := rand.New(rand.NewPCG(1, 3))
 		jobs := 0
@@ -245,14 +245,14 @@
 					}
 				}
 			}
-			if err := c.submit(o, fmt.Sprintf("job-%d", jobs), jobOf(2, 2000), work(700*time.Millisecond)); err != nil {
+			if err := c.submit(o, fmt.Sprintf("job-%d", jobs), newRequest(2, 2000), succeedAfter(700*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
 			jobs++
 			time.Sleep(100 * time.Millisecond)
 		}
 		for i := range jobs {
-			c.await(o, fmt.Sprintf("job-%d", i), workload.Completed, 30*time.Second)
+			c.awaitState(o, fmt.Sprintf("job-%d", i), workload.Completed, 30*time.Second)
 		}
 	})
 }
@@ -260,11 +260,11 @@
 // A worker's discovery entry has a wrong start time, as when another writer has overwritten it. The
 // worker gets no starts, its running attempts count, and it is used again once the entry is right.
 func TestWrongDiscoveryEntry(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
+	withCell(t, 2, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
-		if err := c.submit(o, "job", jobOf(4, 8_000), work(3*time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(4, 8_000), succeedAfter(3*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(4, time.Second)
@@ -273,10 +273,10 @@
 			return w
 		})
 		time.Sleep(time.Second)
-		if err := c.submit(o, "next", jobOf(8, 8_000), work(1500*time.Millisecond)); err != nil {
+		if err := c.submit(o, "next", newRequest(8, 8_000), succeedAfter(1500*time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Completed, 4*time.Second)
+		c.awaitState(o, "job", workload.Completed, 4*time.Second)
 		if got := c.fleet.Starts(); got > 8 {
 			t.Errorf("%d starts while one worker of two has a wrong entry, want 8 at most", got)
 		}
@@ -289,7 +289,7 @@
 		if running := c.fleet.RunningOn("w-00"); running == 0 {
 			t.Error("no attempts on the worker after its entry was corrected")
 		}
-		c.await(o, "next", workload.Completed, 8*time.Second)
+		c.awaitState(o, "next", workload.Completed, 8*time.Second)
 		c.assertStarts(12)
 	})
 }
@@ -297,11 +297,11 @@
 // An owner that takes over while workers restart learns that the attempts from before the restart
 // are over, and reschedules them without waiting for their lease.
 func TestTakeoverDuringWorkerRestart(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
-		o := c.rule()
+	withCell(t, 3, func(c *cell) {
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		c.runShortTasks(o, "before", 30)
-		if err := c.submit(o, "job", jobOf(6, 8_000), work(2*time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(6, 8_000), succeedAfter(2*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(36, time.Second)
@@ -309,9 +309,9 @@
 		o.kill()
 		c.restartAllWorkers(200 * time.Millisecond)
 		time.Sleep(400 * time.Millisecond)
-		o = c.rule()
+		o = c.startOwner()
 		c.awaitStarts(42, 2*time.Second) // on one worker at first: the step is suspected of the crashes
-		c.await(o, "job", workload.Completed, 4*time.Second)
+		c.awaitState(o, "job", workload.Completed, 4*time.Second)
 		c.assertStarts(42)
 	})
 }
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -13,13 +13,13 @@
 // it the task's worker.
 func withLastingTask(t *testing.T, test func(c *cell, o *owner, host string)) {
 	t.Helper()
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
-		lasting := jobOf(1, 2000)
+		lasting := newRequest(1, 2000)
 		lasting.Steps[0].Lasting = true
-		if err := c.submit(o, "lasting", lasting, work(time.Hour)); err != nil {
+		if err := c.submit(o, "lasting", lasting, succeedAfter(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, time.Second)
@@ -61,7 +61,7 @@
 			c.fleet.Crash(host)
 			o.kill()
 			time.Sleep(500 * time.Millisecond)
-			c.rule()
+			c.startOwner()
 			c.awaitStarts(2, 9*time.Second)
 		})
 	})
@@ -90,8 +90,8 @@
 	t.Run("takeover with the worker reachable only by the former owner", func(t *testing.T) {
 		withLastingTask(t, func(c *cell, o *owner, host string) {
 			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
-			next := c.rule()
-			next.client.cutOff(host)
+			next := c.startOwner()
+			next.client.blockWorker(host)
 			c.awaitStarts(2, 10*time.Second)
 		})
 	})
@@ -100,18 +100,18 @@
 // A gang whose worker lease expires while its grants are being written is revoked as a whole and
 // placed again.
 func TestLeaseExpiresWithGangGranted(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
+	withCell(t, 1, func(c *cell) {
 		c.lease = shortLease
-		o := c.rule()
+		o := c.startOwner()
 		time.Sleep(time.Second)
-		gang := jobOf(3, 2000)
+		gang := newRequest(3, 2000)
 		gang.Steps[0].Gang = true
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 		c.fleet.SetFault(func(fleettest.Call, string) fleettest.Fault { return fleettest.Fault{Lost: true} })
-		go c.submit(o, "gang", gang, work(time.Second))
+		go c.submit(o, "gang", gang, succeedAfter(time.Second))
 		time.Sleep(6 * time.Second)
 		o.caller.SetFault(nil)
 		c.fleet.SetFault(nil)
-		c.await(o, "gang", workload.Completed, 10*time.Second)
+		c.awaitState(o, "gang", workload.Completed, 10*time.Second)
 	})
 }
--- a/scheduler/leave_test.go
+++ b/scheduler/leave_test.go
@@ -20,16 +20,16 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 2, func(c *cell) {
+			withCell(t, 2, func(c *cell) {
 				c.lease = shortLease
-				o := c.rule()
+				o := c.startOwner()
 				time.Sleep(time.Second)
-				if err := c.submit(o, "running", jobOf(1, 2000), work(9*time.Second)); err != nil {
+				if err := c.submit(o, "running", newRequest(1, 2000), succeedAfter(9*time.Second)); err != nil {
 					t.Fatal(err)
 				}
-				lasting := jobOf(1, 2000)
+				lasting := newRequest(1, 2000)
 				lasting.Steps[0].Lasting = true
-				if err := c.submit(o, "lasting", lasting, work(time.Hour)); err != nil {
+				if err := c.submit(o, "lasting", lasting, succeedAfter(time.Hour)); err != nil {
 					t.Fatal(err)
 				}
 				c.awaitStarts(2, time.Second)
@@ -37,7 +37,7 @@
 				test.leave(c.fleet, host)
 				time.Sleep(time.Second)
 				for _, id := range []string{"a0", "a1", "a2", "a3"} {
-					if err := c.submit(o, id, jobOf(1, 2000), work(2*time.Second)); err != nil {
+					if err := c.submit(o, id, newRequest(1, 2000), succeedAfter(2*time.Second)); err != nil {
 						t.Fatal(err)
 					}
 					time.Sleep(100 * time.Millisecond)
@@ -45,7 +45,7 @@
 						t.Errorf("job %s started on departing worker %s", id, host)
 					}
 				}
-				c.await(o, "running", workload.Completed, 10*time.Second)
+				c.awaitState(o, "running", workload.Completed, 10*time.Second)
 				if c.fleet.HostOf("lasting.0.0.0") != host || c.fleet.Starts() != 6 {
 					t.Errorf("%d attempts started, want 6; long-running task on worker %q, want %q", c.fleet.Starts(), c.fleet.HostOf("lasting.0.0.0"), host)
 				}
--- a/scheduler/lives.go
+++ b/scheduler/lives.go
@@ -35,9 +35,9 @@
 // seconds or never.
 const identityRetention = time.Minute
 
-// forgetIdentities drops ids that have been unused for identityRetention. The caller must hold
+// expireIdentities drops ids that have been unused for identityRetention. The caller must hold
 // s.mu.
-func (s *Scheduler) forgetIdentities(now time.Time) {
+func (s *Scheduler) expireIdentities(now time.Time) {
 	for name, id := range s.identities {
 		if len(id.lives) == 0 && now.Sub(id.endedAt) > identityRetention {
 			delete(s.identities, name)
@@ -59,10 +59,10 @@
 	return id.token
 }
 
-// enter adds a new life of a worker. The caller must hold s.mu.
-func (s *Scheduler) enter(info fleet.Worker) *worker {
+// addLife adds a new life of a worker. The caller must hold s.mu.
+func (s *Scheduler) addLife(info fleet.Worker) *worker {
 	w := newWorker(info)
-	w.leaseExpiry = s.formerLeasesEnd
+	w.leaseExpiry = s.formerLeaseExpiry
 	id := s.identities[info.ID]
 	if id == nil {
 		id = &identity{token: s.term.Token()}
@@ -125,12 +125,12 @@
 	s.workers[life] = w
 }
 
-// watchAll starts to poll all workers that are listed or have a stored address, those with attempts
+// startPollingAll starts to poll all workers that are listed or have a stored address, those with attempts
 // first. The caller must hold s.mu.
-func (s *Scheduler) watchAll() {
+func (s *Scheduler) startPollingAll() {
 	for _, busy := range []bool{true, false} {
 		for _, w := range s.workers {
-			if (w.known || w.info.Address != "") && busy == (len(w.tasks) > 0) {
+			if (w.discovered || w.info.Address != "") && busy == (len(w.tasks) > 0) {
 				s.startPolling(w)
 			}
 		}
@@ -193,9 +193,9 @@
 	}
 	info := former.info
 	info.Life, info.Draining = life, false
-	next := s.enter(info)
+	next := s.addLife(info)
 	if !former.discoveredLife.Known() { // an entry without a start time describes the current life
-		next.discoveredLife, next.known, next.recentlyDiscovered = former.discoveredLife, former.known, former.recentlyDiscovered
+		next.discoveredLife, next.discovered, next.recentlyDiscovered = former.discoveredLife, former.discovered, former.recentlyDiscovered
 	}
 	return next
 }
@@ -205,7 +205,7 @@
 // placed again at once, as the tokens of their unanswered starts are now too low. The caller must
 // hold s.mu.
 func (s *Scheduler) replaceLife(former, next *worker, report fleet.Report) {
-	s.metrics.startedAgain.Add(1)
+	s.metrics.workersRestarted.Add(1)
 	s.log.Warn().Str("worker", former.info.ID).Int64("born", next.info.Born).Int64("born_before", former.info.Born).
 		Uint64("seen", former.lastEndSequence).Uint64("noted", former.persistedSequence).Int("attempts", len(former.tasks)).
 		Int("running", len(report.Running)).Int("ended", len(report.Ended)).Msg("worker has started again")
@@ -250,9 +250,9 @@
 		state = taskStarting // the report being processed sets it to running
 	}
 	t.worker.release(t)
-	next.host(t, state)
-	t.told = true
+	next.assign(t, state)
+	t.startSent = true
 	if t.unwanted() {
-		s.sendStops(t)
+		s.startStopCalls(t)
 	}
 }
--- a/scheduler/lives_order_test.go
+++ b/scheduler/lives_order_test.go
@@ -54,7 +54,7 @@
 	}), 5, 25)
 	proptest.Check(t, func(rt *rapid.T) {
 		list := events.Draw(rt, "events")
-		inCell(t, 12, func(c *cell) {
+		withCell(t, 12, func(c *cell) {
 			c.t.Cleanup(func() {
 				if c.t.Failed() {
 					c.t.Logf("events: %#v", list)
@@ -68,29 +68,29 @@
 // runEvents submits a job before each event, and awaits all jobs after the last.
 func (c *cell) runEvents(events []event) {
 	c.lease = shortLease
-	o := c.rule()
+	o := c.startOwner()
 	time.Sleep(500 * time.Millisecond)
 	wants := map[string]workload.State{}
 	for i, e := range events {
 		name := fmt.Sprintf("job-%d", i)
-		request, plan, want := jobFor(e.Index + i)
+		request, plan, want := generateJob(e.Index + i)
 		wants[name] = want
-		c.know(name, request, plan)
-		o = c.submitSomehow(o, name, request)
+		c.registerJob(name, request, plan)
+		o = c.submitWithRetry(o, name, request)
 		o = c.applyEvent(o, e)
 		time.Sleep(time.Duration(e.Pause/4) * time.Millisecond)
 	}
 	c.fleet.SetFault(nil)
 	o.caller.SetFault(nil)
 	for name, want := range wants {
-		c.awaitUnlessEnded(o, name, want)
+		c.awaitStateOrGivenUp(o, name, want)
 	}
 }
 
-// jobFor returns a request that varies with number, the plan of its tasks, and the expected final
+// generateJob returns a request that varies with number, the plan of its tasks, and the expected final
 // state.
-func jobFor(number int) (workload.Request, func(workload.TaskID, int) fleettest.Plan, workload.State) {
-	request := jobOf(1+number%4, resource.MilliCPU(1000+500*(number%7)))
+func generateJob(number int) (workload.Request, func(workload.TaskID, int) fleettest.Plan, workload.State) {
+	request := newRequest(1+number%4, resource.MilliCPU(1000+500*(number%7)))
 	request.Steps[0].Gang = number%5 == 0
 	request.Steps[0].Checkpoints = number%3 == 0
 	duration := time.Duration(100+150*(number%9)) * time.Millisecond
@@ -98,12 +98,12 @@
 		failing := fleettest.Plan{Work: duration, Outcome: fleet.Failed}
 		return request, func(workload.TaskID, int) fleettest.Plan { return failing }, workload.Failed
 	}
-	return request, work(duration), workload.Completed
+	return request, succeedAfter(duration), workload.Completed
 }
 
-// awaitUnlessEnded is like await, but also accepts a failed job if two or more workers have ended
+// awaitStateOrGivenUp is like await, but also accepts a failed job if two or more workers have ended
 // under one of its tasks.
-func (c *cell) awaitUnlessEnded(o *owner, name string, want workload.State) {
+func (c *cell) awaitStateOrGivenUp(o *owner, name string, want workload.State) {
 	c.t.Helper()
 	state := workload.State("")
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -136,15 +136,15 @@
 	case killOwner:
 		o.kill()
 		time.Sleep(pause)
-		return c.rule()
+		return c.startOwner()
 	case pauseOwner:
 		o.client.pause()
 		time.Sleep(pause / 2)
 		o.client.resume()
 	case delayOrders:
-		c.everyThird(fleettest.Fault{Late: pause})
+		c.injectFaultEveryThirdCall(fleettest.Fault{Late: pause})
 	case loseAnswers:
-		c.everyThird(fleettest.Fault{Mute: true})
+		c.injectFaultEveryThirdCall(fleettest.Fault{Mute: true})
 	case disconnectWorker:
 		c.fleet.SetFault(func(_ fleettest.Call, to string) fleettest.Fault {
 			return fleettest.Fault{Lost: to == worker(e.Index)}
@@ -161,8 +161,8 @@
 	return o
 }
 
-// everyThird applies a fault to every third call to each worker.
-func (c *cell) everyThird(fault fleettest.Fault) {
+// injectFaultEveryThirdCall applies a fault to every third call to each worker.
+func (c *cell) injectFaultEveryThirdCall(fault fleettest.Fault) {
 	calls := map[string]int{} // the fleet calls the function under its lock
 	c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
 		calls[worker]++
--- a/scheduler/lives_test.go
+++ b/scheduler/lives_test.go
@@ -16,10 +16,10 @@
 func TestAddressReusedByAnotherWorker(t *testing.T) {
 	for _, service := range []string{testService, "another"} {
 		t.Run("of service "+service, func(t *testing.T) {
-			inCell(t, 3, func(c *cell) {
-				o := c.rule()
+			withCell(t, 3, func(c *cell) {
+				o := c.startOwner()
 				time.Sleep(500 * time.Millisecond)
-				if err := c.submit(o, "job", jobOf(6, 8000), work(2*time.Second)); err != nil {
+				if err := c.submit(o, "job", newRequest(6, 8000), succeedAfter(2*time.Second)); err != nil {
 					t.Fatal(err)
 				}
 				c.awaitStarts(6, time.Second)
@@ -34,7 +34,7 @@
 					Life: fleet.Life{ID: "w-91"}, Service: service, Rack: "r1-0", Labels: []string{"a"},
 					Capacity: resource.Amount{CPU: 16_000, Memory: 64 * gigabyte},
 				})
-				c.await(o, "job", workload.Completed, 6*time.Second)
+				c.awaitState(o, "job", workload.Completed, 6*time.Second)
 				if got := calls.Load(); got > 4 { // one Hold call, and orders under way
 					t.Errorf("%d calls to a worker known to have ended, want 4 at most", got)
 				}
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -33,14 +33,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	latest, err := s.bundledRows(bundles.Rows)
+	latest, err := s.latestBundleEntries(bundles.Rows)
 	if err != nil {
 		return err
 	}
 	return s.restore(records.Rows, progress.Rows, latest, bundles.Rows)
 }
 
-func (s *Scheduler) restore(records, progress []rowstore.Row, latest map[string]bundled, bundles []rowstore.Row) error {
+func (s *Scheduler) restore(records, progress []rowstore.Row, latest map[string]bundleEntry, bundles []rowstore.Row) error {
 	now := time.Now()
 	for _, row := range records {
 		record, err := workload.DecodeRecord(row.Name, row.Value)
@@ -71,7 +71,7 @@
 		s.restoreProgress(id, entry.Progress)
 	}
 	s.restoreBundles(latest, bundles)
-	s.noteArrivals()
+	s.countArrivals()
 	s.log.Info().Int("jobs", len(s.jobs)).Int("active", len(s.active)).Int("workers", len(s.workers)).
 		Int("bundles", len(bundles)).Msg("scheduler state loaded")
 	return nil
@@ -86,17 +86,17 @@
 
 // restoreBundles keeps the former owner's bundles until each job whose latest row is in one of them
 // has been written to a row of its own.
-func (s *Scheduler) restoreBundles(latest map[string]bundled, rows []rowstore.Row) {
+func (s *Scheduler) restoreBundles(latest map[string]bundleEntry, rows []rowstore.Row) {
 	for _, row := range rows {
 		b := &bundle{name: row.Name, jobs: map[string]*job{}}
 		for id := range latest {
 			if j := s.jobs[id]; j != nil {
 				b.jobs[id] = j
-				j.inherited = append(j.inherited, b)
+				j.inheritedBundles = append(j.inheritedBundles, b)
 			}
 		}
 		if len(b.jobs) == 0 {
-			s.deadBundles = append(s.deadBundles, s.key(bundleTable, row.Name))
+			s.obsoleteBundles = append(s.obsoleteBundles, s.rowKey(bundleTable, row.Name))
 			continue
 		}
 		s.bundles[row.Name] = b
@@ -109,7 +109,7 @@
 		if p.State.Final() {
 			terms := account.Terms{Name: p.Account}
 			s.jobs[id] = &job{
-				id: id, record: workload.Record{Account: terms}, account: s.accountOf(terms), state: p.State, savedState: p.State, begun: p.Begun, finalAt: p.FinalAt,
+				id: id, record: workload.Record{Account: terms}, account: s.accountOf(terms), state: p.State, savedState: p.State, started: p.Begun, finalAt: p.FinalAt,
 				generation: max(1, p.Generation), saved: max(1, p.Generation),
 			}
 		}
@@ -128,7 +128,7 @@
 	life = s.resolveLife(life)
 	w := s.workers[life]
 	if w == nil {
-		w = s.enter(fleet.Worker{Life: life})
+		w = s.addLife(fleet.Worker{Life: life})
 	}
 	if w.info.Address == "" {
 		w.info.Address = address
@@ -136,11 +136,11 @@
 	return w
 }
 
-// expireUnseen ends the attempts on workers that discovery does not list and that this owner has
+// expireUnreached ends the attempts on workers that discovery does not list and that this owner has
 // never reached, once their leases have expired. The caller must hold s.mu.
-func (s *Scheduler) expireUnseen(now time.Time) {
+func (s *Scheduler) expireUnreached(now time.Time) {
 	for _, w := range s.workers {
-		if w.cancel == nil && !w.known && now.After(w.leaseExpiry) {
+		if w.cancel == nil && !w.discovered && now.After(w.leaseExpiry) {
 			s.endLife(w, "never reached, and its lease has expired")
 		}
 	}
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -26,9 +26,9 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 12, func(c *cell) {
+			withCell(t, 12, func(c *cell) {
 				c.lease = shortLease
-				o := c.rule()
+				o := c.startOwner()
 				time.Sleep(time.Second)
 				var sampler callSampler
 				c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
@@ -84,11 +84,11 @@
 		all.Go(func() {
 			begun := time.Now()
 			id := fmt.Sprintf("%s-%d", name, i)
-			if err := c.submit(o, id, jobOf(3, 1000), work(500*time.Millisecond)); err != nil {
+			if err := c.submit(o, id, newRequest(3, 1000), succeedAfter(500*time.Millisecond)); err != nil {
 				c.t.Errorf("job %s: %v", id, err)
 				return
 			}
-			c.await(o, id, workload.Completed, 20*time.Second)
+			c.awaitState(o, id, workload.Completed, 20*time.Second)
 			mu.Lock()
 			defer mu.Unlock()
 			times = append(times, time.Since(begun))
@@ -101,7 +101,7 @@
 
 // Guards against a burst of calls when a new owner calls all its workers for the first time.
 func TestConcurrentFirstCallsAreLimited(t *testing.T) {
-	inCell(t, 0, func(c *cell) {
+	withCell(t, 0, func(c *cell) {
 		for i := range 100 {
 			c.fleet.Add(fleet.Worker{
 				Life: fleet.Life{ID: fmt.Sprintf("w-%03d", i)}, Service: testService, Rack: "r1-0", Labels: []string{"a"},
@@ -116,7 +116,7 @@
 			calls[time.Now()]++
 			return fleettest.Fault{}
 		})
-		c.rule()
+		c.startOwner()
 		time.Sleep(3 * time.Millisecond) // a call takes 1 ms
 		mu.Lock()
 		defer mu.Unlock()
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -11,14 +11,14 @@
 
 // Metrics holds the counters and latency histograms shared by all schedulers of a process.
 type Metrics struct {
-	admissions, outcomes, refusals, finals *expvar.Map
-	stops, grants, adviceFailed, late      *expvar.Int
-	preempted, crashed, gaveUp, suspected  *expvar.Int
-	held, quarantined, startedAgain        *expvar.Int
-	rowsUnread, staleViews                 *expvar.Int
-	commitTimes, startTimes, adviceTimes   *histogram.Times
-	completedTimes, dispatchTimes          *histogram.Times
-	commitJobs                             *expvar.Int
+	admissions, outcomes, refusals, finals                       *expvar.Map
+	stops, grants, adviceFailed, late                            *expvar.Int
+	preempted, lostWithWorker, crashLimitReached, suspectedSteps *expvar.Int
+	quotaHeldSteps, quarantined, workersRestarted                *expvar.Int
+	unreadRows, staleViews                                       *expvar.Int
+	commitTimes, startTimes, adviceTimes                         *histogram.Times
+	completedTimes, dispatchTimes                                *histogram.Times
+	commitJobs                                                   *expvar.Int
 }
 
 // NewMetrics returns Metrics with all counters at zero.
@@ -28,7 +28,7 @@
 		stops: new(expvar.Int), grants: new(expvar.Int), adviceFailed: new(expvar.Int), late: new(expvar.Int),
 		commitTimes: histogram.New(), startTimes: histogram.New(), adviceTimes: histogram.New(),
 		completedTimes: histogram.New(), dispatchTimes: histogram.New(), commitJobs: new(expvar.Int), preempted: new(expvar.Int),
-		crashed: new(expvar.Int), gaveUp: new(expvar.Int), suspected: new(expvar.Int), held: new(expvar.Int), quarantined: new(expvar.Int), startedAgain: new(expvar.Int), rowsUnread: new(expvar.Int), staleViews: new(expvar.Int),
+		lostWithWorker: new(expvar.Int), crashLimitReached: new(expvar.Int), suspectedSteps: new(expvar.Int), quotaHeldSteps: new(expvar.Int), quarantined: new(expvar.Int), workersRestarted: new(expvar.Int), unreadRows: new(expvar.Int), staleViews: new(expvar.Int),
 	}
 }
 
@@ -42,13 +42,13 @@
 	all.Set("final_late", m.late)
 	all.Set("stops", m.stops)
 	all.Set("preempted", m.preempted)
-	all.Set("lost_with_worker", m.crashed)
-	all.Set("steps_suspected", m.suspected)
-	all.Set("given_up_for_crashes", m.gaveUp)
-	all.Set("steps_held_by_quota", m.held)
+	all.Set("lost_with_worker", m.lostWithWorker)
+	all.Set("steps_suspected", m.suspectedSteps)
+	all.Set("given_up_for_crashes", m.crashLimitReached)
+	all.Set("steps_held_by_quota", m.quotaHeldSteps)
 	all.Set("workers_quarantined", m.quarantined)
-	all.Set("workers_started_again", m.startedAgain)
-	all.Set("report_rows_unread", m.rowsUnread)
+	all.Set("workers_started_again", m.workersRestarted)
+	all.Set("report_rows_unread", m.unreadRows)
 	all.Set("evacuations_unconfirmed", m.staleViews)
 	all.Set("grants", m.grants)
 	all.Set("advice_failed", m.adviceFailed)
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -20,8 +20,8 @@
 	refusalBackoff = 500 * time.Millisecond
 )
 
-// begin starts an attempt whose grant is in the store. The lock is held.
-func (s *Scheduler) begin(t *task, number int) {
+// beginStart starts an attempt whose grant is in the store. The lock is held.
+func (s *Scheduler) beginStart(t *task, number int) {
 	if t.state != taskGranted || t.attempt != number {
 		return
 	}
@@ -88,7 +88,7 @@
 		return fleet.Worker{}, fleet.StartOrder{}, startAbandon
 	}
 	w := t.worker
-	if !t.told && w.overfull() {
+	if !t.startSent && w.overcommitted() {
 		s.metrics.startRefused("its worker has shrunk since the grant")
 		s.endAttempt(t, fleet.Stopped, "", "its worker has shrunk since the grant")
 		return fleet.Worker{}, fleet.StartOrder{}, startAbandon
@@ -96,11 +96,11 @@
 	if decision := s.admitStart(t, expiry); decision != startSend {
 		return fleet.Worker{}, fleet.StartOrder{}, decision
 	}
-	w.extends(expiry, 0)
-	t.told = true
+	w.extendLeaseBound(expiry, 0)
+	t.startSent = true
 	return w.info, fleet.StartOrder{
 		Task: t.id().String(), Number: number, Spec: t.step.job.record.Request.Spec,
-		Checkpoint: t.checkpoint, Ticket: t.ticket, Token: s.tokenOf(w.info.ID), Deadline: w.clockNow(expiry),
+		Checkpoint: t.checkpoint, Ticket: t.ticket, Token: s.tokenOf(w.info.ID), Deadline: w.estimateClock(expiry),
 	}, startSend
 }
 
@@ -109,7 +109,7 @@
 func (s *Scheduler) startCallTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answers.limit() + s.patience()
+	return s.answers.timeout() + s.latenessAllowance()
 }
 
 // startResult is the result of one start call.
@@ -130,21 +130,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.answers.took(result.took) // without an answer, the time waited is a lower bound
+	s.answers.addLatency(result.took) // without an answer, the time waited is a lower bound
 	if t.attempt != number || t.worker == nil {
 		return true
 	}
 	w := t.worker
 	if fleet.IsClosed(err) && !fleet.IsUnsent(err) {
-		t.cutShort = true
+		t.startConnectionClosed = true
 	}
 	if fleet.IsUnsent(err) && !result.uncertain && t.state == taskStarting {
-		t.told = false // until the next call is sent
+		t.startSent = false // until the next call is sent
 	}
 	if err == nil {
-		w.sawClockOf(result.life, result.clock, now)
+		w.observeLifeClock(result.life, result.clock, now)
 		if t.state == taskStarting {
-			s.began(t, now)
+			s.markRunning(t, now)
 		}
 		return true
 	}
@@ -155,7 +155,7 @@
 	)
 	switch {
 	case errors.As(err, &refused):
-		w.sawClockOf(result.life, refused.Clock, now)
+		w.observeLifeClock(result.life, refused.Clock, now)
 		s.handleStartRefusal(t, refused.Reason, result)
 	case errors.As(err, &replaced):
 		s.endLife(w, "another life answers at its address")
@@ -164,7 +164,7 @@
 		s.rejectStart(t, "busy", result.uncertain)
 	case t.state != taskStarting:
 		return true
-	case w.failing && fleet.IsUnsent(err) && !result.uncertain:
+	case w.unresponsive && fleet.IsUnsent(err) && !result.uncertain:
 		s.rejectStart(t, "out of reach", false)
 	case now.After(result.expiry):
 		s.log.Warn().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", number).
@@ -184,11 +184,11 @@
 	w := t.worker
 	switch reason {
 	case fleet.Fenced:
-		s.fenced(w, result.token)
+		s.handleFenced(w, result.token)
 	case fleet.NoRoom:
 		w.blockedUntil = time.Now().Add(refusalBackoff)
 	case fleet.NoTicket:
-		t.step.advice.drop(w)
+		t.step.advice.invalidate(w)
 	}
 	s.rejectStart(t, string(reason), result.uncertain || reason == fleet.Outdated)
 }
@@ -204,15 +204,15 @@
 		s.stop(t, "refused after an unanswered call")
 		return
 	}
-	t.told = false
+	t.startSent = false
 	s.endAttempt(t, fleet.Stopped, "", "refused: "+reason)
 }
 
-// began records that an attempt is running. The lock is held.
-func (s *Scheduler) began(t *task, now time.Time) {
-	t.state, t.begunAt, t.movedAt, t.percent = taskRunning, now, now, 0
+// markRunning records that an attempt is running. The lock is held.
+func (s *Scheduler) markRunning(t *task, now time.Time) {
+	t.state, t.startedAt, t.progressedAt, t.percent = taskRunning, now, now, 0
 	t.recovered = false
-	t.step.job.begun = true
+	t.step.job.started = true
 	s.log.Debug().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
 		Str("worker", t.worker.info.ID).Msg("started")
 }
@@ -228,24 +228,24 @@
 	default:
 		return
 	}
-	s.recall(t, reason)
+	s.beginStop(t, reason)
 	if t.step.spec.Gang {
-		s.breakGang(t.step, t.attempt, "with its gang: "+reason)
+		s.stopGang(t.step, t.attempt, "with its gang: "+reason)
 	}
 }
 
-// recall has the worker stop an attempt whose start may have reached it. The lock is held.
-func (s *Scheduler) recall(t *task, reason string) {
+// beginStop has the worker stop an attempt whose start may have reached it. The lock is held.
+func (s *Scheduler) beginStop(t *task, reason string) {
 	t.state = taskStopping
 	s.metrics.stops.Add(1)
 	s.log.Info().Str("job", t.step.job.id).Str("task", t.id().String()).Int("attempt", t.attempt).
 		Str("worker", t.worker.info.ID).Str("why", reason).Msg("stopping")
-	s.sendStops(t)
+	s.startStopCalls(t)
 }
 
-// sendStops calls the worker in the background until it confirms the stop of an unwanted
+// startStopCalls calls the worker in the background until it confirms the stop of an unwanted
 // attempt. The lock is held.
-func (s *Scheduler) sendStops(t *task) {
+func (s *Scheduler) startStopCalls(t *task) {
 	t.stoppedAt = time.Time{}
 	if s.ctx == nil {
 		return
@@ -275,7 +275,7 @@
 			}
 			return
 		}
-		wait.For(ctx, holdPause)
+		wait.For(ctx, holdRetryDelay)
 	}
 }
 
@@ -284,8 +284,8 @@
 // return early for it.
 func (s *Scheduler) requestReport(ctx context.Context, w *worker, t *task, number int) {
 	s.mu.Lock()
-	wanted := t.worker == w && t.attempt == number && t.unwanted() && t.begunAt.IsZero()
-	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), Noted: w.acknowledged()}
+	wanted := t.worker == w && t.attempt == number && t.unwanted() && t.startedAt.IsZero()
+	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), Noted: w.ackableSequence()}
 	info, sent := w.info, time.Now()
 	s.mu.Unlock()
 	if !wanted {
@@ -294,7 +294,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if report, err := s.client.Hold(callCtx, info, order); err == nil {
-		s.takeReport(w, report, sent)
+		s.handleReport(w, report, sent)
 	}
 }
 
@@ -314,7 +314,7 @@
 		}
 		return true
 	case errors.As(err, &refused) && refused.Reason == fleet.Fenced:
-		return s.fenced(w, order.Token)
+		return s.handleFenced(w, order.Token)
 	case errors.As(err, &replaced):
 		s.endLife(w, "another life answers at its address")
 		return true
@@ -322,20 +322,20 @@
 	return false
 }
 
-// fenced handles the refusal of a call by a worker that has seen a higher fencing token. It ends
+// handleFenced handles the refusal of a call by a worker that has seen a higher fencing token. It ends
 // the term and reports true, unless this owner itself has since used a higher token for the
 // worker's ID or the worker is over. The lock is held.
-func (s *Scheduler) fenced(w *worker, token uint64) bool {
-	if w.over || token < s.tokenOf(w.info.ID) {
+func (s *Scheduler) handleFenced(w *worker, token uint64) bool {
+	if w.ended || token < s.tokenOf(w.info.ID) {
 		return false
 	}
 	s.deposeLocked("worker " + w.info.ID + " has seen a higher fencing token")
 	return true
 }
 
-// stopForeign stops an attempt that a worker reports although it is not assigned to the worker.
+// stopStray stops an attempt that a worker reports although it is not assigned to the worker.
 // The lock is held.
-func (s *Scheduler) stopForeign(w *worker, run fleet.Attempt) {
+func (s *Scheduler) stopStray(w *worker, run fleet.Attempt) {
 	key := run.Task + "#" + w.info.ID
 	if s.stoppingStrays[key] || s.ctx == nil {
 		return
--- a/scheduler/owed_test.go
+++ b/scheduler/owed_test.go
@@ -17,7 +17,7 @@
 	record := workload.Record{Queue: workload.Queue{Priority: 1}}
 	newCandidate := func(id string, a *accountState, latest int, beyond bool) candidate {
 		return candidate{
-			step:    &step{job: &job{id: id, account: a, beyond: beyond, record: record}},
+			step:    &step{job: &job{id: id, account: a, overShare: beyond, record: record}},
 			urgency: urgency.Verdict{Rank: urgency.InTime, Latest: now.Add(time.Duration(latest) * time.Second), Beyond: beyond},
 		}
 	}
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -25,7 +25,7 @@
 	withheld        bool                     // a worker was withheld from the current candidate
 	waitingGangs    []*step                  // gangs that patient steps defer to
 	headroom        map[string]headroom.Gaps // by service
-	sparing         map[string]sparing       // by service
+	sparing         map[string]poolCounts    // by service
 	// quotaReservedFor is the gang that the rest of an account's quota is reserved for.
 	quotaReservedFor map[*accountState]*step
 	// quotaPreemptionTried holds the accounts whose own tasks were considered for preemption.
@@ -37,7 +37,7 @@
 func newPass(now time.Time, serial uint64, includeUnlisted bool, times WorkerTimes, halls evacuation.View) *pass {
 	return &pass{
 		now: now, serial: serial, includeUnlisted: includeUnlisted, workerTimes: times, halls: halls, pools: map[string][]*worker{}, lastGrowth: map[string]uint64{},
-		headroom: map[string]headroom.Gaps{}, blocked: map[*worker]bool{}, sparing: map[string]sparing{}, quotaReservedFor: map[*accountState]*step{},
+		headroom: map[string]headroom.Gaps{}, blocked: map[*worker]bool{}, sparing: map[string]poolCounts{}, quotaReservedFor: map[*accountState]*step{},
 		quotaPreemptionTried: map[*accountState]bool{},
 	}
 }
@@ -47,25 +47,25 @@
 	usable := w.usable(p.now, p.includeUnlisted) && !p.halls.Covers(w.info.Zone)
 	former := w.standing
 	w.standing = w.health.reliability.Standing(p.now)
-	if usable && (!w.wasUsable || w.freed || w.standing < former) {
-		w.grew = p.serial
+	if usable && (!w.wasUsable || w.roomFreed || w.standing < former) {
+		w.grownSerial = p.serial
 	}
-	w.wasUsable, w.freed = usable, false
+	w.wasUsable, w.roomFreed = usable, false
 	if usable {
-		w.usableIn = p.serial
+		w.usableSerial = p.serial
 		service := w.info.Service
 		p.pools[service] = append(p.pools[service], w)
 		p.recordStanding(w)
-		p.lastGrowth[service] = max(p.lastGrowth[service], w.grew)
+		p.lastGrowth[service] = max(p.lastGrowth[service], w.grownSerial)
 	}
 }
 
 // recordStanding counts a usable worker, and whether it is spared for poor reliability.
 func (p *pass) recordStanding(w *worker) {
 	count := p.sparing[w.info.Service]
-	count.all++
+	count.usable++
 	if w.standing >= reliability.Probing {
-		count.spared++
+		count.avoided++
 	}
 	p.sparing[w.info.Service] = count
 }
@@ -82,10 +82,10 @@
 // mayPlace reports whether the step may be placed on the worker now, regardless of free
 // capacity. It sets p.withheld if a trial, a reservation or headroom for gangs prevents it.
 func (p *pass) mayPlace(c candidate, w *worker) bool {
-	if !c.step.allows(w) || !p.relies(w, c.step.spec.Gang) {
+	if !c.step.allows(w) || !p.trusts(w, c.step.spec.Gang) {
 		return false
 	}
-	if w.trial.against(c.step.job, p.now) {
+	if w.trial.excludes(c.step.job, p.now) {
 		p.withheld = true
 		return false
 	}
@@ -103,10 +103,10 @@
 // maxWaitingGangs limits the waiting gangs that patient steps defer to.
 const maxWaitingGangs = 4
 
-// noteWide records a gang that can still complete in time but could not be placed. Candidates
+// recordWaitingGang records a gang that can still complete in time but could not be placed. Candidates
 // are placed in order of urgency, so only less urgent steps defer to it.
-func (p *pass) noteWide(c candidate) {
-	if c.step.spec.Gang && c.urgency.InTime() && len(p.waitingGangs) < maxWaitingGangs && c.step.anyWaiting() {
+func (p *pass) recordWaitingGang(c candidate) {
+	if c.step.spec.Gang && c.urgency.InTime() && len(p.waitingGangs) < maxWaitingGangs && c.step.anyPlaceable() {
 		p.waitingGangs = append(p.waitingGangs, c.step)
 	}
 }
@@ -126,7 +126,7 @@
 
 // mayRunOn reports whether the worker is eligible for the step or not asked about yet.
 func (st *step) mayRunOn(w *worker) bool {
-	return !st.advice.asked[w] || st.advice.at[w] != nil
+	return !st.advice.asked[w] || st.advice.byWorker[w] != nil
 }
 
 // slots returns how many tasks of the step can be placed on the worker now.
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -21,11 +21,11 @@
 		s.placeOnTrial(p, c)
 		return
 	}
-	if st.tried >= p.lastGrowth[st.job.record.Queue.Service] {
+	if st.lastFullPass >= p.lastGrowth[st.job.record.Queue.Service] {
 		return
 	}
 	p.withheld = false
-	tasks := c.waiting()
+	tasks := c.placeableTasks()
 	for i, t := range tasks {
 		w := s.bestWorker(p, c, t)
 		if w == nil {
@@ -42,7 +42,7 @@
 // arrives. If a worker was withheld in this pass, the step is tried again in the next one.
 func (st *step) recordNoCapacity(p *pass) {
 	if !p.withheld {
-		st.tried = p.serial
+		st.lastFullPass = p.serial
 	}
 }
 
@@ -51,12 +51,12 @@
 func (s *Scheduler) bestWorker(p *pass, c candidate, t *task) *worker {
 	var best *worker
 	bestScore := 0.0
-	c.step.options(p, func(w *worker) {
-		if w.grew <= c.step.tried || p.slots(c, w) < 1 || !p.relies(w, t.last()) {
+	c.step.eachEligibleWorker(p, func(w *worker) {
+		if w.grownSerial <= c.step.lastFullPass || p.slots(c, w) < 1 || !p.trusts(w, t.onLastAttempt()) {
 			return
 		}
 		place := s.fitPlace(c.step, w, p.now)
-		place.FailedHere = t.failedOn == w
+		place.FailedHere = t.lastFailedOn == w
 		score := fit.Score(place)
 		if best == nil || score < bestScore {
 			best, bestScore = w, score
@@ -89,14 +89,14 @@
 	t.attempt = attempt
 	t.ticket, _ = t.step.advice.ticketFor(w, now)
 	if t.step.suspected {
-		w.tryOn(t.step, true, now)
+		w.startTrial(t.step, true, now)
 	}
 	before := w.free()
-	w.host(t, taskGranted)
+	w.assign(t, taskGranted)
 	p.useHeadroom(w, before)
 	s.metrics.grants.Add(1)
-	s.change(j)
-	j.onceSaved(func() { s.begin(t, attempt) })
+	s.markDirty(j)
+	j.onSaved(func() { s.beginStart(t, attempt) })
 	p.granted = append(p.granted, t)
 }
 
@@ -111,8 +111,8 @@
 	oldest := p.now
 	for _, t := range p.granted {
 		places.Str(fmt.Sprintf("%d#%d@%s", t.index, t.attempt, t.worker.info.ID))
-		if t.worker.contact.Before(oldest) {
-			oldest = t.worker.contact
+		if t.worker.lastReportAt.Before(oldest) {
+			oldest = t.worker.lastReportAt
 		}
 	}
 	s.log.Info().Str("job", j.id).Str("step", c.step.stepName()).Array("tasks", places).Dur("age", p.now.Sub(j.arrived)).
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -17,20 +17,20 @@
 // checkpoint.
 type WorkerTimes struct{ Stop, Restore time.Duration }
 
-// defaultTimes applies if the configuration has no worker times.
-var defaultTimes = WorkerTimes{Stop: 400 * time.Millisecond, Restore: 250 * time.Millisecond}
+// defaultWorkerTimes applies if the configuration has no worker times.
+var defaultWorkerTimes = WorkerTimes{Stop: 400 * time.Millisecond, Restore: 250 * time.Millisecond}
 
-// stopped returns the maximum time until the end of a preempted task is reported.
-func (w WorkerTimes) stopped() time.Duration { return w.Stop + reportDelay }
+// stopTime returns the maximum time until the end of a preempted task is reported.
+func (w WorkerTimes) stopTime() time.Duration { return w.Stop + reportDelay }
 
-// reserved returns how long the capacity of preempted tasks is reserved for the step that they
+// reservationTime returns how long the capacity of preempted tasks is reservationTime for the step that they
 // were preempted for. It must exceed the stop time, or the reservation would end before the
 // capacity is free.
-func (w WorkerTimes) reserved() time.Duration { return w.Stop + placementDelay }
+func (w WorkerTimes) reservationTime() time.Duration { return w.Stop + placementDelay }
 
-// resumed returns the delay that preemption causes a task: its stop, the wait for another
+// preemptionDelay returns the delay that preemption causes a task: its stop, the wait for another
 // worker and the restore from its checkpoint.
-func (w WorkerTimes) resumed() time.Duration { return w.Stop + w.Restore + requeueDelay }
+func (w WorkerTimes) preemptionDelay() time.Duration { return w.Stop + w.Restore + requeueDelay }
 
 const (
 	// reportDelay is how long the report of a stopped task's end takes, and placementDelay
@@ -62,22 +62,22 @@
 // preemptibleTasks returns the worker's tasks that may be preempted, latest deadline first. The
 // result is cached for the pass.
 func (p *pass) preemptibleTasks(w *worker) []*task {
-	if w.yieldsIn == p.serial {
-		return w.yields
+	if w.preemptibleSerial == p.serial {
+		return w.preemptible
 	}
-	w.yieldsIn, w.yields = p.serial, w.yields[:0]
+	w.preemptibleSerial, w.preemptible = p.serial, w.preemptible[:0]
 	for _, t := range w.tasks {
 		if p.preemptible(t) {
-			w.yields = append(w.yields, t)
+			w.preemptible = append(w.preemptible, t)
 		}
 	}
-	slices.SortFunc(w.yields, func(a, b *task) int {
+	slices.SortFunc(w.preemptible, func(a, b *task) int {
 		return cmp.Or(
 			b.step.job.deadline.Compare(a.step.job.deadline),
 			cmp.Compare(a.step.index, b.step.index), cmp.Compare(a.index, b.index),
 		)
 	})
-	return w.yields
+	return w.preemptible
 }
 
 // preemptible reports whether a task may be preempted: its job remains in time, or is late
@@ -87,12 +87,12 @@
 	if t.state != taskRunning || !spec.Checkpoints || spec.Gang || spec.Lasting || j.record.Request.Timed() {
 		return false
 	}
-	if t.preempted >= maxPreemptions || t.crashes.Numbered() || now.Sub(t.begunAt) < minRunTime {
+	if t.preemptions >= maxPreemptions || t.crashes.Numbered() || now.Sub(t.startedAt) < minRunTime {
 		return false
 	}
-	rest := j.rounds[t.step.round].chainLeft(&j.record.Request) - min(spec.Estimate, now.Sub(t.begunAt))
+	rest := j.rounds[t.step.round].remainingChain(&j.record.Request) - min(spec.Estimate, now.Sub(t.startedAt))
 	late := !now.Add(rest).Before(j.deadline)
-	return late || now.Add(rest+p.workerTimes.resumed()).Before(j.deadline)
+	return late || now.Add(rest+p.workerTimes.preemptionDelay()).Before(j.deadline)
 }
 
 // outrankedBy reports whether the step's queue has a higher priority than the task's.
@@ -119,7 +119,7 @@
 // that capacity for the step. It does nothing if preemption cannot free enough.
 func (s *Scheduler) preempt(p *pass, c candidate, tasks int) {
 	st := c.step
-	if p.preemptionAttempts >= maxPreemptionAttempts || !c.urgency.Pressed || p.now.Before(st.roomUntil) {
+	if p.preemptionAttempts >= maxPreemptionAttempts || !c.urgency.Pressed || p.now.Before(st.reservedUntil) {
 		return
 	}
 	p.preemptionAttempts++
@@ -127,15 +127,15 @@
 	if totalTasks(targets) < tasks {
 		return
 	}
-	st.roomUntil = p.now.Add(p.workerTimes.reserved())
+	st.reservedUntil = p.now.Add(p.workerTimes.reservationTime())
 	stopped := 0
 	for _, target := range targets {
 		if tasks <= 0 {
 			break
 		}
-		wanted := min(tasks, target.tasks)
+		wanted := min(tasks, target.slots)
 		tasks -= wanted
-		target.worker.reserved = reservation{st, st.roomUntil}
+		target.worker.reserved = reservation{st, st.reservedUntil}
 		st.reserved = append(st.reserved, target.worker)
 		stopped += s.preemptOn(p, c, target.worker, wanted)
 	}
@@ -146,16 +146,16 @@
 // preemptionTargets returns the workers that could take tasks of the step after preemption,
 // those where the fewest tasks must be stopped first. Workers whose ticket would expire
 // before that are left out.
-func (s *Scheduler) preemptionTargets(p *pass, c candidate) []share {
-	var targets []share
-	c.step.options(p, func(w *worker) {
-		ticket := c.step.advice.at[w]
-		if ticket != nil && !ticket.validAt(p.now.Add(p.workerTimes.stopped())) {
+func (s *Scheduler) preemptionTargets(p *pass, c candidate) []workerSlots {
+	var targets []workerSlots
+	c.step.eachEligibleWorker(p, func(w *worker) {
+		ticket := c.step.advice.byWorker[w]
+		if ticket != nil && !ticket.validAt(p.now.Add(p.workerTimes.stopTime())) {
 			return
 		}
 		if slots := p.slotsWithPreemption(c, w); slots > 0 {
 			missing := slots - c.step.fitCount(w.free(), w)
-			targets = append(targets, share{w, slots, float64(missing) + s.workerScore(c.step, w, p.now)/scoreDivisor})
+			targets = append(targets, workerSlots{w, slots, float64(missing) + s.workerScore(c.step, w, p.now)/scoreDivisor})
 		}
 	})
 	slices.SortFunc(targets, byScore)
@@ -177,7 +177,7 @@
 			continue
 		}
 		free = free.Plus(t.step.need())
-		t.preempted++
+		t.preemptions++
 		count++
 		s.metrics.preempted.Add(1)
 		s.stop(t, "preempted by job "+c.step.job.id)
