--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -66,8 +66,8 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 2, func(c *cell) {
-				o := c.rule()
+			withCell(t, 2, func(c *cell) {
+				o := c.startOwner()
 				claims := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 5, Target: 10 * time.Second}
 				filler := workload.Step{Count: 8, Need: resource.Amount{CPU: 4000, Memory: gigabyte}, Estimate: fillerWork, Checkpoints: true}
 				if test.change != nil {
@@ -85,12 +85,12 @@
 				urgent := workload.Step{Count: 4, Need: resource.Amount{CPU: 4000, Memory: gigabyte}, Estimate: time.Second, Gang: test.gang}
 				start := time.Now()
 				c.submitToQueue(o, desk, "urgent", workload.Request{Spec: "u", Steps: []workload.Step{urgent}}, time.Second)
-				c.await(o, "urgent", workload.Completed, 12*time.Second)
+				c.awaitState(o, "urgent", workload.Completed, 12*time.Second)
 				took := time.Since(start)
 				if preempts := took < 3*time.Second; preempts != test.preempts {
 					t.Errorf("completed after %v, so preemption is %v, want %v", took, preempts, test.preempts)
 				}
-				c.await(o, "filler", workload.Completed, 20*time.Second)
+				c.awaitState(o, "filler", workload.Completed, 20*time.Second)
 			})
 		})
 	}
@@ -123,20 +123,20 @@
 		costlyCall = 800 * time.Millisecond
 		cheapCalls = 60 // more than the local lane alone can serve in time
 	)
-	inCell(t, 8, func(c *cell) {
-		o := c.rule()
-		var lanes []scheduler.Lane
+	withCell(t, 8, func(c *cell) {
+		o := c.startOwner()
+		var lanes []scheduler.AdviceNode
 		for i := range 5 {
 			advisor := &slowAdvisor{Advisor: c.fleet, slot: make(chan struct{}, 1), slowPrefix: "costly", delay: costlyCall}
-			lanes = append(lanes, scheduler.Lane{Node: fmt.Sprintf("lane-%d", i), Self: i == 0, Advisor: advisor})
+			lanes = append(lanes, scheduler.AdviceNode{Node: fmt.Sprintf("lane-%d", i), Self: i == 0, Advisor: advisor})
 		}
-		o.SetLanes(lanes)
+		o.SetAdviceNodes(lanes)
 		costly := workload.Queue{
 			Name: "diagnostics-2", Service: testService, Priority: 1, Attempts: 3, Stretch: 10, Target: time.Second,
 			Advice: workload.AdvicePolicy{Decision: costlyCall, Each: time.Millisecond, Valid: 2 * time.Second},
 		}
 		for i := range 20 {
-			c.submitToQueue(o, costly, fmt.Sprintf("costly-%02d", i), jobOf(1, 1000), time.Second)
+			c.submitToQueue(o, costly, fmt.Sprintf("costly-%02d", i), newRequest(1, 1000), time.Second)
 		}
 		cheap := workload.Queue{
 			Name: "lookups", Service: testService, Priority: 0, Attempts: 3, Stretch: 1.5, Target: 250 * time.Millisecond,
@@ -146,12 +146,12 @@
 		var submitted sync.WaitGroup
 		for i := range cheapCalls {
 			submitted.Go(func() {
-				c.submitToQueue(o, cheap, fmt.Sprintf("cheap-%02d", i), jobOf(1, 1000), 200*time.Millisecond)
+				c.submitToQueue(o, cheap, fmt.Sprintf("cheap-%02d", i), newRequest(1, 1000), 200*time.Millisecond)
 			})
 		}
 		submitted.Wait()
 		for i := range cheapCalls {
-			c.await(o, fmt.Sprintf("cheap-%02d", i), workload.Completed, 5*time.Second)
+			c.awaitState(o, fmt.Sprintf("cheap-%02d", i), workload.Completed, 5*time.Second)
 		}
 		if took := time.Since(start); took > 700*time.Millisecond {
 			t.Errorf("cheap jobs completed after %v, want at most 700ms", took)
--- a/scheduler/progress_internal_test.go
+++ b/scheduler/progress_internal_test.go
@@ -19,7 +19,7 @@
 	}
 	for i, task := range j.rounds[0].steps[0].tasks {
 		task.attempt = 1
-		hosts[i%len(hosts)].host(task, taskGranted)
+		hosts[i%len(hosts)].assign(task, taskGranted)
 	}
 	addressCount := map[string]int{}
 	for _, task := range j.progress().Steps[0].Tasks {
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -15,23 +15,23 @@
 // blocks and reserves no workers, preempts no tasks of other accounts and requests no advice.
 // It may preempt tasks of its own account that have a lower priority.
 
-// allowed returns how many of the step's waiting tasks its account may start now. A gang is
-// allowed either as a whole or not at all.
-func (st *step) allowed() int {
-	count := st.job.account.maxStarts(st, st.left)
-	if st.spec.Gang && count < st.left {
+// allowedTasks returns how many of the step's waiting tasks its account may start now. A gang is
+// allowedTasks either as a whole or not at all.
+func (st *step) allowedTasks() int {
+	count := st.job.account.maxStarts(st, st.tasksLeft)
+	if st.spec.Gang && count < st.tasksLeft {
 		return 0
 	}
 	return count
 }
 
-// held reports whether a candidate is held back by its account's quota. It sets the number of
+// heldByQuota reports whether a candidate is heldByQuota back by its account's quota. It sets the number of
 // tasks that the candidate may start. The caller holds the lock.
-func (s *Scheduler) held(p *pass, c *candidate) bool {
+func (s *Scheduler) heldByQuota(p *pass, c *candidate) bool {
 	st := c.step
-	c.allowed = st.allowed()
+	c.quotaAllowance = st.allowedTasks()
 	switch {
-	case c.allowed == 0:
+	case c.quotaAllowance == 0:
 		s.recordHeld(st, p.now)
 		s.preemptForQuota(p, *c)
 		p.reserveQuota(*c)
@@ -46,24 +46,24 @@
 
 // recordHeld logs and counts a step that begins to wait for its account's quota.
 func (s *Scheduler) recordHeld(st *step, now time.Time) {
-	if !st.heldAt.IsZero() {
+	if !st.quotaHeldSince.IsZero() {
 		return
 	}
-	st.heldAt = now
+	st.quotaHeldSince = now
 	a := st.job.account
-	s.metrics.held.Add(1)
-	s.log.Info().Str("job", st.job.id).Str("step", st.stepName()).Str("account", a.terms.Name).Int("left", st.left).
+	s.metrics.quotaHeldSteps.Add(1)
+	s.log.Info().Str("job", st.job.id).Str("step", st.stepName()).Str("account", a.terms.Name).Int("left", st.tasksLeft).
 		Stringer("need", st.spec.Need).Stringer("used", a.used).Stringer("quota", resource.Amount(a.terms.Quota)).
 		Msg("waits for its account's quota")
 }
 
 func (s *Scheduler) recordAllowed(st *step, now time.Time) {
-	if st.heldAt.IsZero() {
+	if st.quotaHeldSince.IsZero() {
 		return
 	}
 	s.log.Info().Str("job", st.job.id).Str("step", st.stepName()).Str("account", st.job.account.terms.Name).
-		Dur("waited", now.Sub(st.heldAt)).Msg("its account's quota has room")
-	st.heldAt = time.Time{}
+		Dur("waited", now.Sub(st.quotaHeldSince)).Msg("its account's quota has room")
+	st.quotaHeldSince = time.Time{}
 }
 
 const (
@@ -82,7 +82,7 @@
 	if !st.spec.Gang || !c.urgency.InTime() || p.quotaReservedFor[a] != nil {
 		return
 	}
-	if p.now.Sub(st.heldAt) < gangQuotaHold || a.dominantShare() >= gangQuotaHoldShare {
+	if p.now.Sub(st.quotaHeldSince) < gangQuotaHold || a.dominantShare() >= gangQuotaHoldShare {
 		p.quotaReservedFor[a] = st
 	}
 }
@@ -114,21 +114,21 @@
 // that frees enough of it.
 func (s *Scheduler) preemptForQuota(p *pass, c candidate) {
 	st, a := c.step, c.step.job.account
-	if p.quotaPreemptionTried[a] || !c.urgency.Pressed || p.now.Before(st.roomUntil) {
+	if p.quotaPreemptionTried[a] || !c.urgency.Pressed || p.now.Before(st.reservedUntil) {
 		return
 	}
 	p.quotaPreemptionTried[a] = true // once per pass, for the most urgent step
 	wanted := 1
 	if st.spec.Gang {
-		wanted = st.left
+		wanted = st.tasksLeft
 	}
 	victims := a.quotaVictims(p, c, wanted)
 	if victims == nil {
 		return
 	}
-	st.roomUntil = p.now.Add(p.workerTimes.reserved())
+	st.reservedUntil = p.now.Add(p.workerTimes.reservationTime())
 	for _, t := range victims {
-		t.preempted++
+		t.preemptions++
 		s.metrics.preempted.Add(1)
 		s.stop(t, "preempted within its account by job "+st.job.id)
 	}
--- a/scheduler/quota_cost_test.go
+++ b/scheduler/quota_cost_test.go
@@ -14,9 +14,9 @@
 func BenchmarkAllowed(b *testing.B) {
 	a := newAccountState(account.Terms{Name: "a", Weight: 4, Quota: account.Quota{CPU: 900_000, Memory: 4 << 40}})
 	spec := workload.Step{Count: 40, Need: resource.Amount{CPU: 3_500, Memory: 13 << 30}}
-	st := &step{job: &job{account: a}, spec: &spec, left: spec.Count}
+	st := &step{job: &job{account: a}, spec: &spec, tasksLeft: spec.Count}
 	for b.Loop() {
-		if st.allowed() == 0 {
+		if st.allowedTasks() == 0 {
 			b.Fatal("quota allows no task, want at least one")
 		}
 	}
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -28,12 +28,12 @@
 func TestWideStepRunsWithinQuota(t *testing.T) {
 	for _, sameRack := range []bool{false, true} {
 		t.Run(fmt.Sprintf("same rack %v", sameRack), func(t *testing.T) {
-			inCell(t, 4, func(c *cell) {
+			withCell(t, 4, func(c *cell) {
 				a := c.withAccounts(account.Terms{Name: "small", Weight: 1, Quota: cpuQuota(8_000)}, account.Terms{Name: "other", Weight: 1})
-				wide := jobOf(6, 4_000)
+				wide := newRequest(6, 4_000)
 				wide.Steps[0].SameRack = sameRack
 				a.mustSubmit("small", "wide", c.queue, wide, time.Second)
-				a.mustSubmit("other", "beside", c.queue, jobOf(8, 4_000), time.Second)
+				a.mustSubmit("other", "beside", c.queue, newRequest(8, 4_000), time.Second)
 				a.awaitState("other", "beside", workload.Completed, 3*time.Second)
 				a.awaitState("small", "wide", workload.Completed, 6*time.Second)
 				if most := c.fleet.MostUsed("small"); most.CPU != 8_000 {
@@ -52,17 +52,17 @@
 		request  workload.Request
 		accepted bool
 	}{
-		{"no quota", account.Quota{}, gangOf(4, 8_000), true},
-		{"gang within the quota", cpuQuota(32_000), gangOf(4, 8_000), true},
-		{"gang over the quota", cpuQuota(31_999), gangOf(4, 8_000), false},
-		{"step wider than the quota", cpuQuota(8_000), jobOf(4, 8_000), true},
-		{"task over the quota", cpuQuota(7_999), jobOf(1, 8_000), false},
-		{"memory over the quota", account.Quota{Memory: gigabyte - 1}, jobOf(1, 8_000), false},
-		{"quota of nothing", cpuQuota(-1), jobOf(1, 1), false},
+		{"no quota", account.Quota{}, newGangRequest(4, 8_000), true},
+		{"gang within the quota", cpuQuota(32_000), newGangRequest(4, 8_000), true},
+		{"gang over the quota", cpuQuota(31_999), newGangRequest(4, 8_000), false},
+		{"step wider than the quota", cpuQuota(8_000), newRequest(4, 8_000), true},
+		{"task over the quota", cpuQuota(7_999), newRequest(1, 8_000), false},
+		{"memory over the quota", account.Quota{Memory: gigabyte - 1}, newRequest(1, 8_000), false},
+		{"quota of nothing", cpuQuota(-1), newRequest(1, 1), false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 4, func(c *cell) {
+			withCell(t, 4, func(c *cell) {
 				a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: test.quota})
 				err := a.submit("a", "job", c.queue, test.request, time.Second)
 				if test.accepted {
@@ -73,7 +73,7 @@
 				}
 				wantError[*scheduler.QuotaError](t, "Submit", err)
 				_, err = a.owner.Scheduler.State(c.ctx, "a", "job")
-				wantError[*scheduler.NotJobError](t, "State", err)
+				wantError[*scheduler.UnknownJobError](t, "State", err)
 			})
 		})
 	}
@@ -82,12 +82,12 @@
 // A quota lowered below the current usage only blocks new starts. A raised quota takes effect at
 // once.
 func TestQuotaChange(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)})
-		a.mustSubmit("a", "first", c.queue, jobOf(4, 4_000), 3*time.Second)
+		a.mustSubmit("a", "first", c.queue, newRequest(4, 4_000), 3*time.Second)
 		c.awaitStarts(4, time.Second)
 		a.setTerms(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(4_000)})
-		a.mustSubmit("a", "second", c.queue, jobOf(2, 4_000), time.Second)
+		a.mustSubmit("a", "second", c.queue, newRequest(2, 4_000), time.Second)
 		time.Sleep(time.Second)
 		if used := c.fleet.UsedBy("a"); used.CPU != 16_000 {
 			t.Errorf("CPU usage after the quota was lowered is %v, want 16", used.CPU)
@@ -102,7 +102,7 @@
 // An urgent job of an account at its quota preempts batch tasks of the same account only, even if
 // the workers have free capacity.
 func TestPreemptionAtQuota(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)}, account.Terms{Name: "b", Weight: 1})
 		batch := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 5, Target: 20 * time.Second}
 		filler := workload.Request{Spec: "f", Steps: []workload.Step{{
@@ -113,7 +113,7 @@
 		c.awaitStarts(8, time.Second)
 		time.Sleep(500 * time.Millisecond)
 		lookups := workload.Queue{Name: "lookups", Service: testService, Priority: 0, Attempts: 3, Stretch: 2, Target: time.Second}
-		a.mustSubmit("a", "urgent", lookups, jobOf(1, 4_000), time.Second)
+		a.mustSubmit("a", "urgent", lookups, newRequest(1, 4_000), time.Second)
 		a.awaitState("a", "urgent", workload.Completed, 2500*time.Millisecond)
 		if used := c.fleet.UsedBy("b"); used.CPU != 16_000 {
 			t.Errorf("CPU usage of account b is %v, want 16", used.CPU)
@@ -124,17 +124,17 @@
 
 // No advice is requested for jobs of an account at its quota. Their tickets would expire unused.
 func TestNoAdviceCallsAtQuota(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(4_000)})
 		advisor := &countingAdvisor{Advisor: c.fleet}
-		a.owner.SetLanes([]scheduler.Lane{{Node: "node", Self: true, Advisor: advisor}})
+		a.owner.SetAdviceNodes([]scheduler.AdviceNode{{Node: "node", Self: true, Advisor: advisor}})
 		advised := c.queue
 		advised.Name = "advised" // the configured queue needs no advice
 		advised.Advice = workload.AdvicePolicy{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
-		a.mustSubmit("a", "first", advised, jobOf(1, 4_000), 5*time.Second)
+		a.mustSubmit("a", "first", advised, newRequest(1, 4_000), 5*time.Second)
 		c.awaitStarts(1, time.Second)
 		asked := advisor.calls.Load()
-		a.mustSubmit("a", "second", advised, jobOf(1, 4_000), time.Second)
+		a.mustSubmit("a", "second", advised, newRequest(1, 4_000), time.Second)
 		time.Sleep(3 * time.Second)
 		if more := advisor.calls.Load() - asked; more != 0 {
 			t.Errorf("%d advice calls while the quota blocks the job, want 0", more)
@@ -145,28 +145,28 @@
 
 // Small jobs of an account at its quota do not starve a gang of the same account.
 func TestGangNotStarvedAtQuota(t *testing.T) {
-	inCell(t, 8, func(c *cell) {
+	withCell(t, 8, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)})
 		lowPriority := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 50, Target: time.Minute}
 		go func() {
 			for i := 0; c.ctx.Err() == nil; i++ {
 				time.Sleep(200 * time.Millisecond)
-				if err := a.submit("a", fmt.Sprintf("small-%d", i), lowPriority, jobOf(1, 4_000), time.Second); err != nil && c.ctx.Err() == nil {
+				if err := a.submit("a", fmt.Sprintf("small-%d", i), lowPriority, newRequest(1, 4_000), time.Second); err != nil && c.ctx.Err() == nil {
 					t.Error(err)
 				}
 			}
 		}()
 		time.Sleep(2 * time.Second)
-		a.mustSubmit("a", "gang", c.queue, gangOf(4, 4_000), time.Second)
+		a.mustSubmit("a", "gang", c.queue, newGangRequest(4, 4_000), time.Second)
 		a.awaitState("a", "gang", workload.Completed, 4*time.Second)
 	})
 }
 
 // Running tasks of a cancelled job still count toward the quota after a takeover.
 func TestCancelledTasksCountTowardQuotaAfterTakeover(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+	withCell(t, 4, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)})
-		a.mustSubmit("a", "job", c.queue, jobOf(4, 4_000), 20*time.Second)
+		a.mustSubmit("a", "job", c.queue, newRequest(4, 4_000), 20*time.Second)
 		c.awaitStarts(4, time.Second)
 		c.fleet.SetFault(func(call fleettest.Call, _ string) fleettest.Fault {
 			return fleettest.Fault{Lost: call == fleettest.CallStop}
@@ -175,7 +175,7 @@
 			t.Fatal(err)
 		}
 		a.replaceOwner()
-		a.mustSubmit("a", "next", c.queue, jobOf(4, 4_000), time.Second)
+		a.mustSubmit("a", "next", c.queue, newRequest(4, 4_000), time.Second)
 		time.Sleep(time.Second)
 		if c.fleet.Began("next") {
 			t.Error("job next started while the cancelled job used the whole quota")
@@ -191,7 +191,7 @@
 func TestQuotasRandomOrder(t *testing.T) {
 	const sequences = 1000
 	forSeeds(t, sequences, func(t *testing.T, seed uint64) {
-		inCell(t, 6, func(c *cell) { c.runRandomQuotaEvents(rand.New(rand.NewPCG(seed, 9))) })
+		withCell(t, 6, func(c *cell) { c.runRandomQuotaEvents(rand.New(rand.NewPCG(seed, 9))) })
 	})
 }
 
@@ -240,7 +240,7 @@
 }
 
 func randomRequest(random *rand.Rand) workload.Request {
-	request := jobOf(1+random.IntN(5), resource.MilliCPU(1000+random.IntN(5000)))
+	request := newRequest(1+random.IntN(5), resource.MilliCPU(1000+random.IntN(5000)))
 	step := &request.Steps[0]
 	step.Gang = random.IntN(4) == 0
 	step.Checkpoints = random.IntN(2) == 0
@@ -295,7 +295,7 @@
 func TestNoJobStalls(t *testing.T) {
 	const sequences = 300
 	forSeeds(t, sequences, func(t *testing.T, seed uint64) {
-		inCell(t, 12, func(c *cell) { c.runStallCheck(rand.New(rand.NewPCG(seed, 10))) })
+		withCell(t, 12, func(c *cell) { c.runStallCheck(rand.New(rand.NewPCG(seed, 10))) })
 	})
 }
 
--- a/scheduler/rate_test.go
+++ b/scheduler/rate_test.go
@@ -11,13 +11,13 @@
 		writes float64
 		gap    time.Duration
 	}{
-		{0, leastCommitGap},
-		{200, leastCommitGap},
-		{100, leastCommitGap},
+		{0, minCommitInterval},
+		{200, minCommitInterval},
+		{100, minCommitInterval},
 		{20, 100 * time.Millisecond},
 		{1, 2 * time.Second},
 	} {
-		if got := commitGapFor(c.writes); got != c.gap {
+		if got := commitIntervalFor(c.writes); got != c.gap {
 			t.Errorf("commit gap at %v transactions per second is %v, want %v", c.writes, got, c.gap)
 		}
 	}
--- a/scheduler/relist_test.go
+++ b/scheduler/relist_test.go
@@ -20,23 +20,23 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	t.Run("usable right after an outage", func(t *testing.T) {
-		inCell(t, 2, func(c *cell) {
-			o := c.rule()
+		withCell(t, 2, func(c *cell) {
+			o := c.startOwner()
 			time.Sleep(time.Second)
 			outage(c, o)
-			if err := c.submit(o, "job", jobOf(2, 1000), work(500*time.Millisecond)); err != nil {
+			if err := c.submit(o, "job", newRequest(2, 1000), succeedAfter(500*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
-			c.await(o, "job", workload.Completed, time.Second)
+			c.awaitState(o, "job", workload.Completed, time.Second)
 		})
 	})
 	t.Run("unusable if not listed again", func(t *testing.T) {
-		inCell(t, 2, func(c *cell) {
-			o := c.rule()
+		withCell(t, 2, func(c *cell) {
+			o := c.startOwner()
 			time.Sleep(time.Second)
 			outage(c, o)
 			time.Sleep(3 * time.Second)
-			if err := c.submit(o, "job", jobOf(2, 1000), work(500*time.Millisecond)); err != nil {
+			if err := c.submit(o, "job", newRequest(2, 1000), succeedAfter(500*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(2 * time.Second)
@@ -44,16 +44,16 @@
 				t.Errorf("%d starts on workers that were not listed again, want 0", got)
 			}
 			c.fleet.Unlist(false)
-			c.await(o, "job", workload.Completed, 3*time.Second)
+			c.awaitState(o, "job", workload.Completed, 3*time.Second)
 		})
 	})
 	t.Run("unusable without an outage", func(t *testing.T) {
-		inCell(t, 2, func(c *cell) {
-			o := c.rule()
+		withCell(t, 2, func(c *cell) {
+			o := c.startOwner()
 			time.Sleep(time.Second)
 			c.fleet.Unlist(true)
 			time.Sleep(600 * time.Millisecond)
-			if err := c.submit(o, "job", jobOf(2, 1000), work(500*time.Millisecond)); err != nil {
+			if err := c.submit(o, "job", newRequest(2, 1000), succeedAfter(500*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(2 * time.Second)
@@ -61,7 +61,7 @@
 				t.Errorf("%d starts on workers without an entry, want 0", got)
 			}
 			c.fleet.Unlist(false)
-			c.await(o, "job", workload.Completed, 3*time.Second)
+			c.awaitState(o, "job", workload.Completed, 3*time.Second)
 		})
 	})
 }
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -8,29 +8,29 @@
 	"chutereach/workload"
 )
 
-// takeReport processes a worker's report and reports whether any ends are not yet stored.
-func (s *Scheduler) takeReport(w *worker, report fleet.Report, sent time.Time) bool {
+// handleReport processes a worker's report and reports whether any ends are not yet stored.
+func (s *Scheduler) handleReport(w *worker, report fleet.Report, sent time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if w.over {
+	if w.ended {
 		s.handleEndsOfEndedLife(w, report, sent)
 		return false
 	}
 	if answering := s.resolveAnsweringLife(w, report, sent); answering != w {
 		w = answering
 	}
-	if w.contact.IsZero() {
+	if w.lastReportAt.IsZero() {
 		s.boundLeaseAtFirstReport(w, now)
 	}
-	if w.failing || w.contact.IsZero() {
+	if w.unresponsive || w.lastReportAt.IsZero() {
 		s.log.Info().Str("worker", w.info.ID).Int64("born", report.Born).Int64("clock", int64(report.Clock)).Int64("clock_before", int64(w.clock)).
 			Uint64("noted", w.persistedSequence).Int("running", len(report.Running)).Msg("worker answers")
 	}
-	if !w.failing {
-		s.noteAnswer(true)
+	if !w.unresponsive {
+		s.recordCallResult(true)
 	}
-	w.contact, w.failing, w.failedCalls = now, false, 0
+	w.lastReportAt, w.unresponsive, w.failedCalls = now, false, 0
 	s.clearLost(w)
 	w.observeClock(report.Clock, now)
 	s.recordUnread(w, report, now)
@@ -49,7 +49,7 @@
 			s.handleMissing(t, sent)
 		}
 	}
-	w.advanceNoted()
+	w.advancePersisted()
 	s.finishTrial(w, now)
 	wake(s.dispatchWake)
 	return len(w.pendingEnds) > 0
@@ -66,7 +66,7 @@
 		w.unreadSince = time.Time{}
 		return
 	}
-	s.metrics.rowsUnread.Add(int64(report.Unread))
+	s.metrics.unreadRows.Add(int64(report.Unread))
 	if w.unreadSince.IsZero() {
 		w.unreadSince = now
 		s.log.Warn().Str("worker", w.info.ID).Int("rows", report.Unread).Uint64("from_end", report.UnreadFrom).
@@ -103,7 +103,7 @@
 	if w.reusedID {
 		// A call sent to the former life but executed by this one may have granted a
 		// lease by the former clock. The worker limits it to its longest lease.
-		w.leaseExpiry = leaseEnd(now, s.longest)
+		w.leaseExpiry = latestLeaseExpiry(now, s.maxLease)
 		return
 	}
 	w.shortenLeaseBound(now, s.lease) // the worker now rejects calls from the former owner
@@ -132,25 +132,25 @@
 	t := w.tasks[run.Task]
 	if t == nil || t.attempt != run.Number {
 		w.foreignAttempts++
-		s.stopForeign(w, run)
+		s.stopStray(w, run)
 		return false
 	}
 	if run.Checkpoint != "" && t.step.spec.Checkpoints {
 		t.checkpoint = run.Checkpoint
 	}
 	if t.state == taskStarting || t.state == taskGranted {
-		s.began(t, now)
+		s.markRunning(t, now)
 	}
-	s.percentSeen = s.percentSeen || run.Percent > 0
+	s.progressSeen = s.progressSeen || run.Percent > 0
 	s.sampleProgress(t, run.Percent, now)
 	switch {
-	case run.Percent > t.percent || t.movedAt.IsZero():
-		t.percent, t.movedAt = run.Percent, now
+	case run.Percent > t.percent || t.progressedAt.IsZero():
+		t.percent, t.progressedAt = run.Percent, now
 	case s.stalled(t, now):
 		s.stop(t, "no progress within its stall timeout")
 	}
 	if s.shouldMoveOffSlowWorker(t, now) {
-		t.movedOnce = true
+		t.moved = true
 		s.stop(t, "its worker is slow")
 	}
 	return true
@@ -160,7 +160,7 @@
 func (s *Scheduler) handleMissing(t *task, sent time.Time) {
 	running := t.state == taskRunning || t.state == taskDone
 	switch {
-	case running && !t.begunAt.IsZero() && t.begunAt.Before(sent):
+	case running && !t.startedAt.IsZero() && t.startedAt.Before(sent):
 		s.endAttempt(t, fleet.Lapsed, "", "not in the worker's report")
 	case t.unwanted() && !t.stoppedAt.IsZero() && t.stoppedAt.Before(sent):
 		s.endAttempt(t, fleet.Stopped, "", "stopped before it began")
@@ -207,7 +207,7 @@
 	if j == nil || j.state.Final() {
 		return
 	}
-	t := j.find(id)
+	t := j.findTask(id)
 	if t == nil || t.state == taskDone {
 		return
 	}
@@ -219,5 +219,5 @@
 	} else if end.Checkpoint != "" && t.step.spec.Checkpoints && !t.hosted() {
 		t.checkpoint = end.Checkpoint
 	}
-	s.change(j)
+	s.markDirty(j)
 }
--- a/scheduler/same_id_test.go
+++ b/scheduler/same_id_test.go
@@ -25,24 +25,24 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 3, func(c *cell) {
+			withCell(t, 3, func(c *cell) {
 				c.lease = shortLease
 				if test.noBirthTimes {
 					c.hideBirthTimes()
 				}
-				o := c.rule()
+				o := c.startOwner()
 				time.Sleep(500 * time.Millisecond)
 				c.runShortTasks(o, "before", 30)
 				c.restartAllWorkers(200 * time.Millisecond)
 				time.Sleep(time.Second)
 				plan := func(workload.TaskID, int) fleettest.Plan { return test.plan }
 				for i := range 6 {
-					if err := c.submit(o, fmt.Sprintf("after-%d", i), jobOf(1, 1000), plan); err != nil {
+					if err := c.submit(o, fmt.Sprintf("after-%d", i), newRequest(1, 1000), plan); err != nil {
 						t.Fatal(err)
 					}
 				}
 				for i := range 6 {
-					c.await(o, fmt.Sprintf("after-%d", i), test.want, 10*time.Second)
+					c.awaitState(o, fmt.Sprintf("after-%d", i), test.want, 10*time.Second)
 				}
 			})
 		})
@@ -52,10 +52,10 @@
 // runShortTasks completes a job of short tasks, so that the workers' sequence numbers of ends rise.
 func (c *cell) runShortTasks(o *owner, id string, tasks int) {
 	c.t.Helper()
-	if err := c.submit(o, id, jobOf(tasks, 1000), work(100*time.Millisecond)); err != nil {
+	if err := c.submit(o, id, newRequest(tasks, 1000), succeedAfter(100*time.Millisecond)); err != nil {
 		c.t.Fatal(err)
 	}
-	c.await(o, id, workload.Completed, 10*time.Second)
+	c.awaitState(o, id, workload.Completed, 10*time.Second)
 }
 
 // hideBirthTimes makes workers omit their start time, so that only the clock shows a restart.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// confirmedFor is how long an owner keeps extending worker leases after the
+	// leaseExtensionWindow is how long an owner keeps extending worker leases after the
 	// store last confirmed its term. With a 3 s lease, running tasks survive a store
 	// outage of 7 s. A new owner waits this long plus a lease before it treats a
 	// worker that it cannot reach as idle.
-	confirmedFor = 5 * time.Second
+	leaseExtensionWindow = 5 * time.Second
 	// dispatchInterval is how often a dispatch pass runs without any change, for work
 	// that becomes due by time alone. minDispatchGap is the minimum time between two
 	// passes, so that one pass covers several changes.
@@ -45,9 +45,9 @@
 	// PartitionWrites is how many transactions per second the store accepts for the
 	// shard's partition; 0 means unknown.
 	PartitionWrites float64
-	// Workers holds the times that workers take to stop and to restore a task; the zero
+	// WorkerTimes holds the times that workers take to stop and to restore a task; the zero
 	// value means defaultTimes.
-	Workers WorkerTimes
+	WorkerTimes WorkerTimes
 	// RemoteFactor is the ratio of a task's run time away from its data to its run time
 	// near it; values up to 1 mean unknown.
 	RemoteFactor float64
@@ -70,10 +70,10 @@
 }
 
 func (c Config) workerTimes() WorkerTimes {
-	if c.Workers == (WorkerTimes{}) {
-		return defaultTimes
+	if c.WorkerTimes == (WorkerTimes{}) {
+		return defaultWorkerTimes
 	}
-	return c.Workers
+	return c.WorkerTimes
 }
 
 // defaultRemoteFactor is used if Config.RemoteFactor is unknown.
@@ -95,7 +95,7 @@
 	lateness       func() time.Duration
 	gate           evacuationGate
 	lease          time.Duration
-	longest        time.Duration // the longest lease that workers accept
+	maxLease       time.Duration // the longest lease that workers accept
 	keepFinal      time.Duration
 	commitInterval time.Duration // minimum time between the starts of two transactions
 	times          WorkerTimes
@@ -113,39 +113,39 @@
 	workers map[fleet.Life]*worker
 	// identities tracks the successive lives of each worker ID.
 	identities map[string]*identity
-	// past holds ended lives that discovery still lists.
-	past   map[fleet.Life]bool
-	dirty  []*job // changed since they were last written
-	queues map[string]workload.Queue
+	// endedLives holds ended lives that discovery still lists.
+	endedLives map[fleet.Life]bool
+	dirty      []*job // changed since they were last written
+	queues     map[string]workload.Queue
 	// directory lists the accounts of the current configuration; accounts holds the
 	// state of those with jobs in this shard.
 	directory account.Directory
 	accounts  map[string]*accountState
 	// demands holds what gangs have requested recently, by service.
-	demands map[string]headroom.Demand
-	lanes   []*lane
-	// formerLeasesEnd is when the last lease that a former owner may have granted
+	demands     map[string]headroom.Demand
+	adviceNodes []*adviceNode
+	// formerLeaseExpiry is when the last lease that a former owner may have granted
 	// has expired.
-	formerLeasesEnd time.Time
-	stoppingStrays  map[string]bool    // stray attempts with a stop call in flight, as TASK#WORKER
-	passSerial      uint64             // number of dispatch passes
-	healthy         map[string]float64 // share of workers that may run a step, by queue
-	bundles         map[string]*bundle
-	deadBundles     []rowstore.Key // bundles that no job needs, to be deleted
-	bundleCount     uint64
-	fleetSpeed      float64       // mean speed of tasks relative to their estimates
-	percentSeen     bool          // whether workers report progress
-	answers         answers       // response times and losses of calls to workers
-	breaks          []breakage    // recent losses of connections to workers
-	freshBuffer     []share       // reused by freshRoom
-	commitSlot      chan struct{} // semaphore of size 1, held during a transaction
-	deposed         error
-	paused          bool
+	formerLeaseExpiry time.Time
+	stoppingStrays    map[string]bool    // stray attempts with a stop call in flight, as TASK#WORKER
+	passSerial        uint64             // number of dispatch passes
+	eligibleShares    map[string]float64 // share of workers that may run a step, by queue
+	bundles           map[string]*bundle
+	obsoleteBundles   []rowstore.Key // bundles that no job needs, to be deleted
+	bundleCount       uint64
+	fleetSpeed        float64       // mean speed of tasks relative to their estimates
+	progressSeen      bool          // whether workers report progress
+	answers           callStats     // response times and losses of calls to workers
+	connectionBreaks  []disconnect  // recent losses of connections to workers
+	unaskedBuffer     []workerSlots // reused by freshRoom
+	commitSlot        chan struct{} // semaphore of size 1, held during a transaction
+	deposed           error
+	paused            bool
 
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	running      wait.Group
-	firstCalls   *callGate // limits concurrent first calls to workers
+	firstCalls   *callLimiter // limits concurrent first calls to workers
 	commitWake   chan struct{}
 	dispatchWake chan struct{}
 }
@@ -155,13 +155,13 @@
 	return &Scheduler{
 		shard: config.Shard, lateness: config.lateness, gate: newEvacuationGate(config), lease: config.Lease, keepFinal: config.KeepFinal,
 		store: store, client: client, term: term, log: log.With().Uint64("token", term.Token()).Logger(), metrics: metrics,
-		commitInterval: commitGapFor(config.PartitionWrites), times: config.workerTimes(), remoteFactor: config.remoteFactor(),
+		commitInterval: commitIntervalFor(config.PartitionWrites), times: config.workerTimes(), remoteFactor: config.remoteFactor(),
 		jobs: map[string]*job{}, active: map[string]*job{}, workers: map[fleet.Life]*worker{},
-		identities: map[string]*identity{}, past: map[fleet.Life]bool{}, longest: max(config.Lease, config.LongestLease),
+		identities: map[string]*identity{}, endedLives: map[fleet.Life]bool{}, maxLease: max(config.Lease, config.LongestLease),
 		queues: map[string]workload.Queue{}, accounts: map[string]*accountState{}, demands: map[string]headroom.Demand{},
-		stoppingStrays: map[string]bool{}, bundles: map[string]*bundle{}, healthy: map[string]float64{}, fleetSpeed: 1,
-		formerLeasesEnd: leaseEnd(term.FormerSuccess().Add(confirmedFor), config.Lease), Loaded: make(chan struct{}),
-		firstCalls: newCallGate(maxFirstCalls),
+		stoppingStrays: map[string]bool{}, bundles: map[string]*bundle{}, eligibleShares: map[string]float64{}, fleetSpeed: 1,
+		formerLeaseExpiry: latestLeaseExpiry(term.FormerSuccess().Add(leaseExtensionWindow), config.Lease), Loaded: make(chan struct{}),
+		firstCalls: newCallLimiter(maxFirstCalls),
 		commitWake: make(chan struct{}, 1), dispatchWake: make(chan struct{}, 1), commitSlot: make(chan struct{}, 1),
 	}
 }
@@ -181,9 +181,9 @@
 func (s *Scheduler) Term() *leadership.Term { return s.term }
 
 // DeposedError reports that the term has ended and why.
-type DeposedError struct{ Why string }
+type DeposedError struct{ Reason string }
 
-func (e *DeposedError) Error() string { return "term ended: " + e.Why }
+func (e *DeposedError) Error() string { return "term ended: " + e.Reason }
 
 // deposeLocked ends the term, unless it has ended already. The lock is held.
 func (s *Scheduler) deposeLocked(reason string) {
@@ -203,7 +203,7 @@
 	s.mu.Lock()
 	s.ctx, s.cancel = ctx, cancel
 	s.stopFinalJobs()
-	s.watchAll()
+	s.startPollingAll()
 	deposed := s.deposed
 	s.mu.Unlock()
 	if deposed != nil {
@@ -235,9 +235,9 @@
 	wake(s.dispatchWake)
 }
 
-// Hold waits for the transaction in progress and blocks further ones until release
+// HoldCommits waits for the transaction in progress and blocks further ones until release
 // is called, so that another node can take the shard over.
-func (s *Scheduler) Hold(ctx context.Context) (release func(), err error) {
+func (s *Scheduler) HoldCommits(ctx context.Context) (release func(), err error) {
 	select {
 	case s.commitSlot <- struct{}{}:
 		return func() { <-s.commitSlot }, nil
@@ -294,20 +294,20 @@
 // prune removes final jobs older than keepFinal, and unused accounts and worker identities.
 // It frees what is no longer needed of the other final jobs. The lock is held.
 func (s *Scheduler) prune(now time.Time) {
-	s.forgetAccounts()
-	s.forgetIdentities(now)
+	s.removeIdleAccounts()
+	s.expireIdentities(now)
 	for id, j := range s.jobs {
-		if j.forgotten && j.saved >= j.generation {
+		if j.expired && j.saved >= j.generation {
 			delete(s.jobs, id)
 			continue
 		}
 		if j.state.Final() && j.saved >= j.generation {
 			j.compact()
 		}
-		if !j.state.Final() || j.forgotten || now.Sub(time.UnixMilli(j.finalAt)) < s.keepFinal {
+		if !j.state.Final() || j.expired || now.Sub(time.UnixMilli(j.finalAt)) < s.keepFinal {
 			continue
 		}
-		j.forgotten = true
-		s.change(j)
+		j.expired = true
+		s.markDirty(j)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -15,33 +15,33 @@
 )
 
 func TestCompletesJobs(t *testing.T) {
-	chain := jobOf(4, 1000)
+	chain := newRequest(4, 1000)
 	second := newStep(3, 2000)
 	second.After = []int{0}
 	third := newStep(2, 500)
 	third.After = []int{0, 1}
 	chain.Steps = append(chain.Steps, second, third)
 
-	gang := jobOf(6, 4500)
+	gang := newRequest(6, 4500)
 	gang.Steps[0].Gang = true
 
-	spread := jobOf(8, 500)
+	spread := newRequest(8, 500)
 	spread.Steps[0].PerWorker = 2
 
-	labelled := jobOf(2, 500)
+	labelled := newRequest(2, 500)
 	labelled.Steps[0].Label = "a"
 
-	oneRack := jobOf(4, 4000)
+	oneRack := newRequest(4, 4000)
 	oneRack.Steps[0].SameRack = true
 
-	wide := jobOf(60, 4000) // exceeds the capacity of the fleet
+	wide := newRequest(60, 4000) // exceeds the capacity of the fleet
 
 	cases := []struct {
 		name    string
 		request workload.Request
 		within  time.Duration
 	}{
-		{"one step", jobOf(3, 1000), 2 * time.Second},
+		{"one step", newRequest(3, 1000), 2 * time.Second},
 		{"a chain of steps", chain, 5 * time.Second},
 		{"a gang", gang, 2 * time.Second},
 		{"spread over workers", spread, 2 * time.Second},
@@ -51,32 +51,32 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 6, func(c *cell) {
-				o := c.rule()
-				if err := c.submit(o, "job", test.request, work(time.Second)); err != nil {
+			withCell(t, 6, func(c *cell) {
+				o := c.startOwner()
+				if err := c.submit(o, "job", test.request, succeedAfter(time.Second)); err != nil {
 					t.Fatal(err)
 				}
-				c.await(o, "job", workload.Completed, test.within)
+				c.awaitState(o, "job", workload.Completed, test.within)
 			})
 		})
 	}
 }
 
 func TestTicketsAreRequestedInAdvance(t *testing.T) {
-	inCell(t, 9, func(c *cell) {
+	withCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
-		o := c.rule()
-		if err := c.submit(o, "job", jobOf(40, 4000), work(3*time.Second)); err != nil {
+		o := c.startOwner()
+		if err := c.submit(o, "job", newRequest(40, 4000), succeedAfter(3*time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Completed, 20*time.Second)
+		c.awaitState(o, "job", workload.Completed, 20*time.Second)
 	})
 }
 
 func TestAcceptedJobIsStored(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
-		o := c.rule()
-		if err := c.submit(o, "job", jobOf(1, 1000), work(time.Minute)); err != nil {
+	withCell(t, 1, func(c *cell) {
+		o := c.startOwner()
+		if err := c.submit(o, "job", newRequest(1, 1000), succeedAfter(time.Minute)); err != nil {
 			t.Fatal(err)
 		}
 		if _, ok := c.store.Row(rowstore.Key{Table: "jobs", Partition: testShard, Name: "job"}); !ok {
@@ -86,15 +86,15 @@
 }
 
 func TestSubmitIsIdempotent(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
-		o := c.rule()
+	withCell(t, 1, func(c *cell) {
+		o := c.startOwner()
 		for range 3 {
-			if err := c.submit(o, "job", jobOf(1, 1000), work(time.Second)); err != nil {
+			if err := c.submit(o, "job", newRequest(1, 1000), succeedAfter(time.Second)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		c.await(o, "job", workload.Completed, 3*time.Second)
-		if err := c.submit(o, "job", jobOf(1, 1000), work(time.Second)); err != nil {
+		c.awaitState(o, "job", workload.Completed, 3*time.Second)
+		if err := c.submit(o, "job", newRequest(1, 1000), succeedAfter(time.Second)); err != nil {
 			t.Error(err)
 		}
 		time.Sleep(3 * time.Second)
@@ -113,7 +113,7 @@
 			return fleettest.Plan{Work: 100 * time.Millisecond}
 		}
 	}
-	gang := jobOf(4, 1000)
+	gang := newRequest(4, 1000)
 	gang.Steps[0].Gang = true
 	cases := []struct {
 		name    string
@@ -121,40 +121,40 @@
 		failing int
 		want    workload.State
 	}{
-		{"fewer than the attempts", jobOf(2, 1000), 2, workload.Completed},
-		{"as many as the attempts", jobOf(2, 1000), 3, workload.Failed},
+		{"fewer than the attempts", newRequest(2, 1000), 2, workload.Completed},
+		{"as many as the attempts", newRequest(2, 1000), 3, workload.Failed},
 		{"of a gang, fewer", gang, 2, workload.Completed},
 		{"of a gang, as many", gang, 3, workload.Failed},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 3, func(c *cell) {
-				o := c.rule()
+			withCell(t, 3, func(c *cell) {
+				o := c.startOwner()
 				if err := c.submit(o, "job", test.request, fails(test.failing)); err != nil {
 					t.Fatal(err)
 				}
-				c.await(o, "job", test.want, 5*time.Second)
+				c.awaitState(o, "job", test.want, 5*time.Second)
 			})
 		})
 	}
 }
 
 func TestCancelStopsRunningAttempts(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
-		o := c.rule()
-		if err := c.submit(o, "job", jobOf(10, 4000), work(time.Minute)); err != nil {
+	withCell(t, 2, func(c *cell) {
+		o := c.startOwner()
+		if err := c.submit(o, "job", newRequest(10, 4000), succeedAfter(time.Minute)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 		if err := o.Cancel(c.ctx, "job"); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Cancelled, time.Millisecond)
+		c.awaitState(o, "job", workload.Cancelled, time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
 		if running := c.fleet.Running(); running != 0 {
 			t.Errorf("%d attempts still running after the cancellation, want 0", running)
 		}
-		var notJob *scheduler.NotJobError
+		var notJob *scheduler.UnknownJobError
 		if err := o.Cancel(c.ctx, "other"); !errors.As(err, &notJob) {
 			t.Errorf("Cancel of an unknown job: got %v, want NotJobError", err)
 		}
@@ -162,11 +162,11 @@
 }
 
 func TestTaskResumesFromCheckpoint(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
-		request := jobOf(1, 1000)
+	withCell(t, 2, func(c *cell) {
+		request := newRequest(1, 1000)
 		request.Steps[0].Checkpoints = true
-		o := c.rule()
-		if err := c.submit(o, "job", request, work(8*time.Second)); err != nil {
+		o := c.startOwner()
+		if err := c.submit(o, "job", request, succeedAfter(8*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
@@ -175,15 +175,15 @@
 		}
 		c.fleet.Add(fleet.Worker{Life: fleet.Life{ID: "w-9"}, Service: testService, Capacity: o.workerCapacity()})
 		// The lease of the crashed worker expires first; then about 3 s of work remain.
-		c.await(o, "job", workload.Completed, 13*time.Second)
+		c.awaitState(o, "job", workload.Completed, 13*time.Second)
 	})
 }
 
 func TestPendingCountsUnstartedJobs(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
-		o := c.rule()
+	withCell(t, 1, func(c *cell) {
+		o := c.startOwner()
 		for _, id := range []string{"a", "b", "c"} {
-			if err := c.submit(o, id, jobOf(1, 16_000), work(2*time.Second)); err != nil {
+			if err := c.submit(o, id, newRequest(1, 16_000), succeedAfter(2*time.Second)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -198,12 +198,12 @@
 }
 
 func TestRoundsStartOnSchedule(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
-		request := jobOf(2, 1000)
+	withCell(t, 2, func(c *cell) {
+		request := newRequest(2, 1000)
 		request.Rounds, request.Interval = 3, 2*time.Second
 		request.First = time.Now().Add(time.Second).UnixMilli()
-		o := c.rule()
-		if err := c.submit(o, "job", request, work(500*time.Millisecond)); err != nil {
+		o := c.startOwner()
+		if err := c.submit(o, "job", request, succeedAfter(500*time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
 		for _, want := range []int{0, 2, 4, 6} {
@@ -217,15 +217,15 @@
 				time.Sleep(800 * time.Millisecond)
 			}
 		}
-		c.await(o, "job", workload.Completed, 2*time.Second)
+		c.awaitState(o, "job", workload.Completed, 2*time.Second)
 	})
 }
 
 func TestLastingStepIsRestarted(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
-		request := jobOf(1, 1000)
+	withCell(t, 2, func(c *cell) {
+		request := newRequest(1, 1000)
 		request.Steps[0].Lasting = true
-		o := c.rule()
+		o := c.startOwner()
 		plan := func(workload.TaskID, int) fleettest.Plan {
 			return fleettest.Plan{Work: time.Second, Outcome: fleet.Failed}
 		}
@@ -237,16 +237,16 @@
 		if got := c.fleet.Starts(); got < 8 {
 			t.Errorf("%d starts in 10 s, want 8 or more", got)
 		}
-		c.await(o, "job", workload.Running, time.Second)
+		c.awaitState(o, "job", workload.Running, time.Second)
 	})
 }
 
 func TestDrainingWorkerGetsNoStarts(t *testing.T) {
-	inCell(t, 2, func(c *cell) {
-		o := c.rule()
+	withCell(t, 2, func(c *cell) {
+		o := c.startOwner()
 		c.fleet.SetDraining("w-00")
 		time.Sleep(time.Second)
-		if err := c.submit(o, "job", jobOf(4, 4000), work(time.Second)); err != nil {
+		if err := c.submit(o, "job", newRequest(4, 4000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
@@ -255,19 +255,19 @@
 			}
 			return fleettest.Fault{}
 		})
-		c.await(o, "job", workload.Completed, 3*time.Second)
+		c.awaitState(o, "job", workload.Completed, 3*time.Second)
 	})
 }
 
 func TestSubmitIsRefusedDuringStoreOutage(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
-		o := c.rule()
+	withCell(t, 1, func(c *cell) {
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		time.Sleep(3 * time.Second)
 		begun := time.Now()
-		err := c.submit(o, "job", jobOf(1, 1000), work(time.Second))
-		var overloaded *scheduler.OverloadedError
+		err := c.submit(o, "job", newRequest(1, 1000), succeedAfter(time.Second))
+		var overloaded *scheduler.RejectedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
 			t.Errorf("got %v, want OverloadedError with RetryAfter", err)
 		}
@@ -283,14 +283,14 @@
 }
 
 func TestSubmitTimeoutIsUnconfirmed(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
-		o := c.rule()
+	withCell(t, 1, func(c *cell) {
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Mute: write, Silent: !write} })
-		c.know("job", jobOf(1, 1000), work(time.Second))
+		c.registerJob("job", newRequest(1, 1000), succeedAfter(time.Second))
 		ctx, cancel := context.WithTimeout(c.ctx, 500*time.Millisecond)
 		defer cancel()
-		err := o.Submit(ctx, "job", workload.Record{Request: jobOf(1, 1000), Queue: c.queue, Accepted: time.Now().UnixMilli()})
+		err := o.Submit(ctx, "job", workload.Record{Request: newRequest(1, 1000), Queue: c.queue, Accepted: time.Now().UnixMilli()})
 		var unconfirmed *scheduler.UnconfirmedError
 		if !errors.As(err, &unconfirmed) {
 			t.Errorf("got %v, want UnconfirmedError", err)
@@ -299,16 +299,16 @@
 }
 
 func TestFinalJobsExpire(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
-		o := c.rule()
-		if err := c.submit(o, "job", jobOf(1, 1000), work(time.Second)); err != nil {
+	withCell(t, 1, func(c *cell) {
+		o := c.startOwner()
+		if err := c.submit(o, "job", newRequest(1, 1000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		c.await(o, "job", workload.Completed, 3*time.Second)
+		c.awaitState(o, "job", workload.Completed, 3*time.Second)
 		time.Sleep(100 * time.Second)
-		c.await(o, "job", workload.Completed, time.Millisecond)
+		c.awaitState(o, "job", workload.Completed, time.Millisecond)
 		time.Sleep(time.Minute)
-		var notJob *scheduler.NotJobError
+		var notJob *scheduler.UnknownJobError
 		if _, err := o.State(c.ctx, "job"); !errors.As(err, &notJob) {
 			t.Errorf("State after the retention time: got %v, want NotJobError", err)
 		}
@@ -320,9 +320,9 @@
 
 // Guards against data races between SetLanes and calls for advice.
 func TestSetLanesDuringAdviceCalls(t *testing.T) {
-	inCell(t, 9, func(c *cell) {
+	withCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
-		o := c.rule()
+		o := c.startOwner()
 		stop := make(chan struct{})
 		go func() {
 			for {
@@ -330,15 +330,15 @@
 				case <-stop:
 					return
 				case <-time.After(time.Millisecond):
-					o.SetLanes([]scheduler.Lane{{Node: "node", Self: true, Advisor: c.fleet}})
+					o.SetAdviceNodes([]scheduler.AdviceNode{{Node: "node", Self: true, Advisor: c.fleet}})
 				}
 			}
 		}()
 		for _, id := range []string{"a", "b", "c", "d"} {
-			if err := c.submit(o, id, jobOf(4, 1000), work(100*time.Millisecond)); err != nil {
+			if err := c.submit(o, id, newRequest(4, 1000), succeedAfter(100*time.Millisecond)); err != nil {
 				t.Fatal(err)
 			}
-			c.await(o, id, workload.Completed, 5*time.Second)
+			c.awaitState(o, id, workload.Completed, 5*time.Second)
 		}
 		close(stop)
 	})
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -22,9 +22,9 @@
 	for _, test := range cases {
 		t.Run(test.suspended.String(), func(t *testing.T) {
 			machine := clocktest.New(t)
-			inCell(t, 2, func(c *cell) {
+			withCell(t, 2, func(c *cell) {
 				c.lease = shortLease
-				o := c.rule()
+				o := c.startOwner()
 				time.Sleep(2 * time.Second)
 				o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 				machine.Suspend(test.suspended)
--- a/scheduler/tickets.go
+++ b/scheduler/tickets.go
@@ -20,31 +20,31 @@
 type adviceState struct {
 	asked         map[*worker]bool
 	tickets       []*workerTicket
-	at            map[*worker]*workerTicket // tickets by worker
+	byWorker      map[*worker]*workerTicket // tickets by worker
 	callsInFlight int                       // advice calls
 	nextCheck     time.Time                 // no calls before this time
 }
 
-// drop invalidates a ticket that a worker has refused.
-func (a *adviceState) drop(w *worker) {
-	if p := a.at[w]; p != nil {
+// invalidate invalidates a ticket that a worker has refused.
+func (a *adviceState) invalidate(w *worker) {
+	if p := a.byWorker[w]; p != nil {
 		p.expires = time.Time{}
 	}
 }
 
 // ticketFor returns the ticket for a worker if it is valid at the given time.
 func (a *adviceState) ticketFor(w *worker, at time.Time) (string, bool) {
-	if p := a.at[w]; p != nil && p.validAt(at) {
+	if p := a.byWorker[w]; p != nil && p.validAt(at) {
 		return p.ticket, true
 	}
 	return "", false
 }
 
-// take records the tickets of an answer. It returns how many workers were asked about for the
+// recordAnswer records the tickets of an answer. It returns how many workers were asked about for the
 // first time, and how many of these may run the step.
-func (a *adviceState) take(named []*worker, advice fleet.Advice, now time.Time) (asked, healthy int) {
+func (a *adviceState) recordAnswer(named []*worker, advice fleet.Advice, now time.Time) (asked, healthy int) {
 	if a.asked == nil {
-		a.asked, a.at = map[*worker]bool{}, map[*worker]*workerTicket{}
+		a.asked, a.byWorker = map[*worker]bool{}, map[*worker]*workerTicket{}
 	}
 	for _, w := range named {
 		text, ok := advice.Tickets[w.info.ID]
@@ -58,11 +58,11 @@
 		if !ok {
 			continue
 		}
-		if a.at[w] == nil {
-			a.at[w] = &workerTicket{worker: w}
-			a.tickets = append(a.tickets, a.at[w])
+		if a.byWorker[w] == nil {
+			a.byWorker[w] = &workerTicket{worker: w}
+			a.tickets = append(a.tickets, a.byWorker[w])
 		}
-		a.at[w].ticket, a.at[w].expires = text, now.Add(advice.Valid)
+		a.byWorker[w].ticket, a.byWorker[w].expires = text, now.Add(advice.Valid)
 	}
 	return asked, healthy
 }
--- a/scheduler/times_test.go
+++ b/scheduler/times_test.go
@@ -15,15 +15,15 @@
 		remoteFactor               float64
 	}{
 		{"unset", Config{}, 500 * ms, 900 * ms, 2500 * ms, 1.5},
-		{"typical", Config{Workers: WorkerTimes{400 * ms, 250 * ms}, RemoteFactor: 1.5}, 500 * ms, 900 * ms, 2500 * ms, 1.5},
-		{"slow stops", Config{Workers: WorkerTimes{900 * ms, 250 * ms}, RemoteFactor: 3}, 1000 * ms, 1400 * ms, 3000 * ms, 3},
+		{"typical", Config{WorkerTimes: WorkerTimes{400 * ms, 250 * ms}, RemoteFactor: 1.5}, 500 * ms, 900 * ms, 2500 * ms, 1.5},
+		{"slow stops", Config{WorkerTimes: WorkerTimes{900 * ms, 250 * ms}, RemoteFactor: 3}, 1000 * ms, 1400 * ms, 3000 * ms, 3},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			w := test.config.workerTimes()
-			if w.stopped() != test.stopped || w.reserved() != test.reserved || w.resumed() != test.resumed {
+			if w.stopTime() != test.stopped || w.reservationTime() != test.reserved || w.preemptionDelay() != test.resumed {
 				t.Errorf("stopped %v, reserved %v, resumed %v, want %v, %v, %v",
-					w.stopped(), w.reserved(), w.resumed(), test.stopped, test.reserved, test.resumed)
+					w.stopTime(), w.reservationTime(), w.preemptionDelay(), test.stopped, test.reserved, test.resumed)
 			}
 			if got := test.config.remoteFactor(); got != test.remoteFactor {
 				t.Errorf("remote factor %v, want %v", got, test.remoteFactor)
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -24,8 +24,8 @@
 	started bool // attempts were granted; before that, the attempts of other jobs settle
 }
 
-// against reports whether the trial keeps a job off the worker.
-func (t trial) against(j *job, now time.Time) bool {
+// excludes reports whether the trial keeps a job off the worker.
+func (t trial) excludes(j *job, now time.Time) bool {
 	return t.step != nil && t.step.job != j && now.Before(t.until)
 }
 
@@ -44,8 +44,8 @@
 	return true
 }
 
-// tryOn reserves the worker for a step's job for up to maxTrialTime.
-func (w *worker) tryOn(st *step, started bool, now time.Time) {
+// startTrial reserves the worker for a step's job for up to maxTrialTime.
+func (w *worker) startTrial(st *step, started bool, now time.Time) {
 	w.trial = trial{st, now.Add(maxTrialTime), started}
 }
 
@@ -65,16 +65,16 @@
 	if w.trial.step == nil {
 		return
 	}
-	survived := w.trial.started && !w.trialUnsettled(now) && !w.failing && !w.over
+	survived := w.trial.started && !w.trialUnsettled(now) && !w.unresponsive && !w.ended
 	if !survived && now.Before(w.trial.until) {
 		return
 	}
 	st := w.trial.step
 	if survived {
-		st.passed = true
+		st.trialPassed = true
 		st.clearSuspicionOn(w)
 	}
-	w.trial, w.freed = trial{}, true
+	w.trial, w.roomFreed = trial{}, true
 	wake(s.dispatchWake)
 }
 
@@ -95,7 +95,7 @@
 func (s *Scheduler) placeOnTrial(p *pass, c candidate) {
 	st := c.step
 	var best *worker
-	st.options(p, func(w *worker) {
+	st.eachEligibleWorker(p, func(w *worker) {
 		if p.slots(c, w) == 0 {
 			return
 		}
@@ -110,12 +110,12 @@
 		if st.trialRunning(p) {
 			return
 		}
-		best.tryOn(st, false, p.now)
+		best.startTrial(st, false, p.now)
 	}
 	if !best.settledExcept(st.job, p.now) {
 		return
 	}
-	for _, t := range c.waiting() {
+	for _, t := range c.placeableTasks() {
 		if p.slots(c, best) == 0 {
 			return
 		}
@@ -123,17 +123,17 @@
 	}
 }
 
-// claim reserves all workers that a suspected step needs at the same time, and reports whether the
+// reserveForTrial reserves all workers that a suspected step needs at the same time, and reports whether the
 // attempts of other jobs on them have settled.
-func claim(p *pass, c candidate, shares []share) bool {
+func reserveForTrial(p *pass, c candidate, shares []workerSlots) bool {
 	settled, left := true, len(c.tasks)
 	for _, part := range shares {
 		if left <= 0 {
 			break
 		}
-		left -= part.tasks
+		left -= part.slots
 		if !part.worker.onTrial(c.step, p.now) {
-			part.worker.tryOn(c.step, false, p.now)
+			part.worker.startTrial(c.step, false, p.now)
 		}
 		settled = settled && part.worker.settledExcept(c.step.job, p.now)
 	}
@@ -144,8 +144,8 @@
 // the sum of all penalties, so that the same workers are chosen until their attempts have settled.
 const trialScoreBonus = 100.0
 
-// claimed returns the amount subtracted from a worker's score if it is reserved for the step.
-func (st *step) claimed(w *worker, now time.Time) float64 {
+// trialScore returns the amount subtracted from a worker's score if it is reserved for the step.
+func (st *step) trialScore(w *worker, now time.Time) float64 {
 	if st.suspected && w.onTrial(st, now) {
 		return trialScoreBonus
 	}
@@ -167,7 +167,7 @@
 // trialRunning reports whether the step is on trial on some worker and none has survived a trial
 // yet.
 func (st *step) trialRunning(p *pass) bool {
-	if st.passed {
+	if st.trialPassed {
 		return false
 	}
 	for _, w := range p.pools[st.job.record.Queue.Service] {
--- a/scheduler/withdraw_test.go
+++ b/scheduler/withdraw_test.go
@@ -20,7 +20,7 @@
 // submitAsync submits a job and delivers the result of the call on the returned channel.
 func (c *cell) submitAsync(o *owner, id string, queue workload.Queue, request workload.Request) <-chan submitResult {
 	answer := make(chan submitResult, 1)
-	c.know(id, request, work(request.Steps[0].Estimate))
+	c.registerJob(id, request, succeedAfter(request.Steps[0].Estimate))
 	record := workload.Record{Request: request, Queue: queue, Accepted: time.Now().UnixMilli()}
 	start := time.Now()
 	go func() {
@@ -31,10 +31,12 @@
 }
 
 // lookupRequest returns a request for a short step without slack.
-func lookupRequest() workload.Request { return withEstimate(jobOf(2, 1000), 640*time.Millisecond) }
+func lookupRequest() workload.Request { return withEstimate(newRequest(2, 1000), 640*time.Millisecond) }
 
 // statementRequest returns a request for a longer step with slack.
-func statementRequest() workload.Request { return withEstimate(jobOf(4, 1000), 3400*time.Millisecond) }
+func statementRequest() workload.Request {
+	return withEstimate(newRequest(4, 1000), 3400*time.Millisecond)
+}
 
 func withEstimate(r workload.Request, estimate time.Duration) workload.Request {
 	r.Steps[0].Estimate = estimate
@@ -44,7 +46,7 @@
 // wantRejected fails the test unless a job was rejected as overload within a time limit.
 func wantRejected(t *testing.T, what string, got submitResult, limit time.Duration) {
 	t.Helper()
-	var overloaded *scheduler.OverloadedError
+	var overloaded *scheduler.RejectedError
 	if !errors.As(got.err, &overloaded) || overloaded.RetryAfter <= 0 {
 		t.Errorf("%s: got %v, want OverloadedError with RetryAfter", what, got.err)
 	}
@@ -56,8 +58,8 @@
 // While the store is down, jobs that were not sent to it and can no longer meet their deadline are
 // rejected, and may be submitted again. Jobs with slack are kept and run once the store is back.
 func TestUnsentJobsRejectedDuringOutage(t *testing.T) {
-	inCell(t, 8, func(c *cell) {
-		o := c.rule()
+	withCell(t, 8, func(c *cell) {
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Refuse: true} })
 		time.Sleep(300 * time.Millisecond) // the pending transaction then holds only the owner's row
@@ -72,28 +74,28 @@
 		}
 		time.Sleep(2 * time.Second)
 		o.caller.SetFault(nil)
-		c.await(o, "statement", workload.Completed, 8*time.Second)
+		c.awaitState(o, "statement", workload.Completed, 8*time.Second)
 		if got := c.fleet.Starts(); got != statementRequest().Steps[0].Count {
 			t.Errorf("%d attempts started, want the %d of the statement", got, statementRequest().Steps[0].Count)
 		}
 		if got := <-c.submitAsync(o, "lookup", lookups, lookupRequest()); got.err != nil {
 			t.Errorf("submitting the lookup again after the outage: %v", got.err)
 		}
-		c.await(o, "lookup", workload.Completed, 2*time.Second)
+		c.awaitState(o, "lookup", workload.Completed, 2*time.Second)
 	})
 }
 
 // A job in a transaction whose response was lost may be stored: it is not rejected, and runs once
 // it is found in the store.
 func TestSentJobNotRejected(t *testing.T) {
-	inCell(t, 8, func(c *cell) {
-		o := c.rule()
+	withCell(t, 8, func(c *cell) {
+		o := c.startOwner()
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Mute: write, Silent: !write} })
 		answer := c.submitAsync(o, "lookup", lookups, lookupRequest())
 		wantError[*scheduler.UnconfirmedError](t, "a lookup that was sent", (<-answer).err)
 		o.caller.SetFault(nil)
-		c.await(o, "lookup", workload.Completed, 5*time.Second)
+		c.awaitState(o, "lookup", workload.Completed, 5*time.Second)
 	})
 }
 
@@ -102,14 +104,14 @@
 	for _, outage := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 		for _, fault := range []memory.Fault{{Refuse: true}, {Silent: true}, {Mute: true}} {
 			t.Run(fmt.Sprintf("%v %+v", outage, fault), func(t *testing.T) {
-				inCell(t, 12, func(c *cell) { runOutage(c, outage, fault) })
+				withCell(t, 12, func(c *cell) { runOutage(c, outage, fault) })
 			})
 		}
 	}
 }
 
 func runOutage(c *cell, outage time.Duration, fault memory.Fault) {
-	o := c.rule()
+	o := c.startOwner()
 	time.Sleep(time.Second)
 	answers := map[string]<-chan submitResult{}
 	submit := func(id string) {
@@ -133,10 +135,10 @@
 	o.caller.SetFault(nil)
 	accepted := 0
 	for id, answer := range answers {
-		var overloaded *scheduler.OverloadedError
+		var overloaded *scheduler.RejectedError
 		if got := <-answer; !errors.As(got.err, &overloaded) {
 			accepted++
-			c.await(o, id, workload.Completed, 40*time.Second)
+			c.awaitState(o, id, workload.Completed, 40*time.Second)
 		} else if _, err := o.State(c.ctx, id); err == nil || c.fleet.Began(id) {
 			c.t.Errorf("job %s was rejected but is known or has started (State error %v, started %v)", id, err, c.fleet.Began(id))
 		}
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -15,28 +15,28 @@
 	info fleet.Worker
 	// What discovery says of this life: whether it lists the life, how its entry names it, and
 	// whether it lists it or may have lost the entry in an outage of the store. The capacity of a
-	// life is known only from its own entry.
-	known              bool
+	// life is discovered only from its own entry.
+	discovered         bool
 	discoveredLife     fleet.Life
 	recentlyDiscovered bool
 	// superseded is whether a later life with the same id is known.
 	superseded bool
 	reusedID   bool // an earlier life had the same id
-	over       bool // this life has ended
+	ended      bool // this life has ended
 	used       resource.Amount
 	tasks      map[string]*task // by task id
 	cancel     context.CancelFunc
 
-	contact           time.Time // time of the last report
+	lastReportAt      time.Time // time of the last report
 	clock             fleet.Clock
 	clockReadAt       time.Time
 	leaseExpiry       time.Time     // latest time at which an attempt here can run, unless a lease is extended
-	failing           bool          // the last call was not answered
+	unresponsive      bool          // the last call was not answered
 	failedCalls       int           // consecutive unanswered calls
 	unresponsiveSince time.Time     // when the first of them failed
 	connectionClosed  bool          // the first of them failed because the worker closed or refused the connection
 	leaving           bool          // draining, or removed from discovery while it still answered
-	lost              []lostAttempt // until it is known whether the worker has ended
+	lostAttempts      []lostAttempt // until it is known whether the worker has ended
 	trial             trial
 
 	lastEndSequence uint64          // highest end sequence processed
@@ -51,16 +51,16 @@
 
 	foreignAttempts int // attempts in the last report that this owner did not grant
 	// Serial of the last placement pass in which the worker could take more than before.
-	grew         uint64
-	wasUsable    bool
-	usableIn     uint64 // serial of the last placement pass in which it was usable
-	freed        bool   // since the last placement pass
-	blockedUntil time.Time
-	reserved     reservation
-	yields       []*task // attempts that may be preempted
-	yieldsIn     uint64  // serial of the pass in which these were collected
-	health       health
-	standing     reliability.Standing // as of the last placement pass
+	grownSerial       uint64
+	wasUsable         bool
+	usableSerial      uint64 // serial of the last placement pass in which it was usable
+	roomFreed         bool   // since the last placement pass
+	blockedUntil      time.Time
+	reserved          reservation
+	preemptible       []*task // attempts that may be preempted
+	preemptibleSerial uint64  // serial of the pass in which these were collected
+	health            health
+	standing          reliability.Standing // as of the last placement pass
 }
 
 // pendingEnd is a processed end that is not yet stored.
@@ -77,21 +77,21 @@
 // free returns the capacity that is not granted.
 func (w *worker) free() resource.Amount { return w.info.Capacity.Minus(w.used) }
 
-// overfull reports whether more is granted than the worker's capacity, which can shrink at run
+// overcommitted reports whether more is granted than the worker's capacity, which can shrink at run
 // time. Running attempts continue, and no others start until they fit.
-func (w *worker) overfull() bool { return !w.used.Fits(w.info.Capacity) }
+func (w *worker) overcommitted() bool { return !w.used.Fits(w.info.Capacity) }
 
-// host reserves room on the worker for a new attempt of the task.
-func (w *worker) host(t *task, state taskState) {
+// assign reserves room on the worker for a new attempt of the task.
+func (w *worker) assign(t *task, state taskState) {
 	t.worker, t.state = w, state
-	t.begunAt, t.stoppedAt, t.movedAt, t.percent = time.Time{}, time.Time{}, time.Time{}, 0
-	t.told, t.cutShort = false, false
-	t.sampledAt, t.sampled = time.Time{}, 0
+	t.startedAt, t.stoppedAt, t.progressedAt, t.percent = time.Time{}, time.Time{}, time.Time{}, 0
+	t.startSent, t.startConnectionClosed = false, false
+	t.sampledAt, t.sampledPercent = time.Time{}, 0
 	w.used = w.used.Plus(t.step.need())
 	w.tasks[t.id().String()] = t
 	t.step.onWorker[w]++
 	t.step.job.hosted++
-	t.step.job.account.host(t)
+	t.step.job.account.addTask(t)
 }
 
 // release frees the room of an attempt that has ended or was never started.
@@ -104,9 +104,9 @@
 	if t.step.job.hosted--; t.step.job.hosted == 0 {
 		t.step.job.idleSince = time.Now()
 	}
-	t.step.job.account.release(t)
+	t.step.job.account.removeTask(t)
 	t.worker = nil
-	w.freed = true
+	w.roomFreed = true
 }
 
 // need returns the resources that a task of the step reserves on a worker. Filler steps reserve no
@@ -119,14 +119,14 @@
 	return need
 }
 
-// clockNow extrapolates the worker's clock from its last reading.
-func (w *worker) clockNow(now time.Time) fleet.Clock {
+// estimateClock extrapolates the worker's clock from its last reading.
+func (w *worker) estimateClock(now time.Time) fleet.Clock {
 	return w.clock + fleet.Clock(now.Sub(w.clockReadAt).Milliseconds())
 }
 
-// sawClockOf records a clock reading if it is from the worker's own life. An attempt may have moved
+// observeLifeClock records a clock reading if it is from the worker's own life. An attempt may have moved
 // to a later life, with another clock, before its call is answered.
-func (w *worker) sawClockOf(life fleet.Life, clock fleet.Clock, now time.Time) {
+func (w *worker) observeLifeClock(life fleet.Life, clock fleet.Clock, now time.Time) {
 	if w.info.Life == life {
 		w.observeClock(clock, now)
 	}
@@ -138,14 +138,14 @@
 	}
 }
 
-// leaseEnd returns the local time by which a lease has expired on the clock of any worker.
-func leaseEnd(given time.Time, lease time.Duration) time.Time {
+// latestLeaseExpiry returns the local time by which a lease has expired on the clock of any worker.
+func latestLeaseExpiry(given time.Time, lease time.Duration) time.Time {
 	return given.Add(lease + time.Duration(float64(lease)*clockDrift) + clockSlack)
 }
 
-// extends raises the bound on the lease expiry for an order that may extend the lease.
-func (w *worker) extends(sent time.Time, lease time.Duration) {
-	if ends := leaseEnd(sent, lease); ends.After(w.leaseExpiry) {
+// extendLeaseBound raises the bound on the lease expiry for an order that may extend the lease.
+func (w *worker) extendLeaseBound(sent time.Time, lease time.Duration) {
+	if ends := latestLeaseExpiry(sent, lease); ends.After(w.leaseExpiry) {
 		w.leaseExpiry = ends
 	}
 }
@@ -153,7 +153,7 @@
 // shortenLeaseBound lowers the bound on the lease expiry, given that no other owner has granted a
 // lease after the time last.
 func (w *worker) shortenLeaseBound(last time.Time, lease time.Duration) {
-	if ends := leaseEnd(last, lease); ends.Before(w.leaseExpiry) {
+	if ends := latestLeaseExpiry(last, lease); ends.Before(w.leaseExpiry) {
 		w.leaseExpiry = ends
 	}
 }
@@ -161,8 +161,8 @@
 // usable reports whether the worker may get new tasks. A worker that discovery does not list may if
 // listIncomplete is set.
 func (w *worker) usable(now time.Time, listIncomplete bool) bool {
-	return !w.over && !w.superseded && (w.known || listIncomplete && w.recentlyDiscovered) && !w.info.Draining && !w.failing && w.foreignAttempts == 0 &&
-		now.Sub(w.contact) < reportMaxAge && now.After(w.blockedUntil)
+	return !w.ended && !w.superseded && (w.discovered || listIncomplete && w.recentlyDiscovered) && !w.info.Draining && !w.unresponsive && w.foreignAttempts == 0 &&
+		now.Sub(w.lastReportAt) < reportMaxAge && now.After(w.blockedUntil)
 }
 
 // listIncomplete reports whether live workers may be missing from the discovery list because their
@@ -175,18 +175,18 @@
 // platform specifies about two seconds.
 const relistTimeout = 2 * time.Second
 
-// acknowledged returns the sequence up to which the worker may discard ends. Ends that could not be
+// ackableSequence returns the sequence up to which the worker may discard ends. Ends that could not be
 // decoded are excluded.
-func (w *worker) acknowledged() uint64 {
+func (w *worker) ackableSequence() uint64 {
 	if w.unreadFrom > 0 {
 		return min(w.persistedSequence, w.unreadFrom-1)
 	}
 	return w.persistedSequence
 }
 
-// advanceNoted advances persistedSequence over the pending ends whose jobs are stored. The caller
+// advancePersisted advances persistedSequence over the pending ends whose jobs are stored. The caller
 // must hold Scheduler.mu.
-func (w *worker) advanceNoted() {
+func (w *worker) advancePersisted() {
 	advanced := false
 	for len(w.pendingEnds) > 0 {
 		first := w.pendingEnds[0]
@@ -216,17 +216,17 @@
 	listed := make(map[fleet.Life]bool, len(list))
 	for _, info := range list {
 		listed[info.Life] = true
-		if !s.past[info.Life] {
+		if !s.endedLives[info.Life] {
 			s.updateWorker(info)
 		}
 	}
-	s.watchAll()
-	maps.DeleteFunc(s.past, func(life fleet.Life, _ bool) bool { return !listed[life] })
+	s.startPollingAll()
+	maps.DeleteFunc(s.endedLives, func(life fleet.Life, _ bool) bool { return !listed[life] })
 	for _, w := range s.workers {
-		if w.known && !listed[w.discoveredLife] {
-			w.known = false
+		if w.discovered && !listed[w.discoveredLife] {
+			w.discovered = false
 			w.recentlyDiscovered = s.listIncomplete(time.Now()) || !s.term.FailingSince().IsZero()
-			w.leaving = w.leaving || !w.failing && !w.superseded
+			w.leaving = w.leaving || !w.unresponsive && !w.superseded
 			s.log.Info().Str("worker", w.info.ID).Int64("born", w.info.Born).Int("attempts", len(w.tasks)).Msg("worker is no longer listed")
 		}
 	}
@@ -238,15 +238,15 @@
 	info.Life = s.resolveLife(info.Life)
 	w := s.workers[info.Life]
 	if w == nil {
-		w = s.enter(info)
+		w = s.addLife(info)
 	}
-	if info.Capacity != w.info.Capacity && w.known {
+	if info.Capacity != w.info.Capacity && w.discovered {
 		s.log.Info().Str("worker", info.ID).Stringer("was", w.info.Capacity).Stringer("is", info.Capacity).
 			Stringer("used", w.used).Msg("worker is resized")
-		w.freed = true // retry steps that found no room
+		w.roomFreed = true // retry steps that found no room
 	}
 	if info.Draining && !w.info.Draining {
 		s.log.Info().Str("worker", info.ID).Dur("remaining", info.Remaining).Msg("worker drains")
 	}
-	w.info, w.known, w.discoveredLife, w.recentlyDiscovered, w.leaving = info, true, entryLife, true, info.Draining
+	w.info, w.discovered, w.discoveredLife, w.recentlyDiscovered, w.leaving = info, true, entryLife, true, info.Draining
 }
