--- a/rowstore/rowstore.go
+++ b/rowstore/rowstore.go
@@ -1,7 +1,7 @@
-// Package rowstore names what the scheduler asks of a transactional row store:
-// conditional transactions within one partition, ordered reads, and a feed of
-// changes. Package platform adapts the users' store to it; tests bring a store
-// of their own.
+// Package rowstore defines the interface of the transactional row store that the
+// scheduler uses: conditional transactions within one partition, ordered reads and a
+// feed of changes. Package platform implements it with the platform's store, package
+// memory in memory for tests.
 package rowstore
 
 import (
@@ -12,71 +12,73 @@
 	"chutereach/transfer"
 )
 
-// Key names a row. Rows with one Partition may share a transaction, whatever
-// their tables.
+// Key identifies a row. Rows of different tables can be in one transaction if they have
+// the same Partition.
 type Key struct {
 	Table     string
 	Partition string
 	Name      string
 }
 
-// Row is one row as it was read.
+// Row is a row as returned by Read or Watch.
 type Row struct {
 	Key
 	Value   []byte
-	Version uint64 // rises with each transaction of the store; 0: there is no such row
-	Deleted bool   // only in a feed
+	Version uint64 // increases with each transaction of the store; 0 if the row does not exist
+	Deleted bool   // set only by Watch
 }
 
-// Condition demands that a row be at a version, or absent if it is 0.
+// Condition requires that a row has the given version, or does not exist if it is 0.
 type Condition struct {
 	Key
 	Version uint64
 }
 
-// Put writes a row.
+// Put inserts or replaces a row.
 type Put struct {
 	Key
 	Value []byte
 }
 
-// Transaction applies whole or not at all. All its keys have one Partition.
+// Transaction is applied atomically. All its keys must have the same Partition.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
 	Deletes    []Key
 }
 
-// MaxEntries bounds the entries of a Transaction, of all three kinds together.
+// MaxEntries is the maximum number of conditions, puts and deletes of a Transaction
+// together.
 const MaxEntries = 100
 
-// MaxPage bounds the rows of a Page.
+// MaxPage is the maximum number of rows that Read returns.
 const MaxPage = 500
 
-// Page is an answer to a read or a feed.
+// Page is the response to Read or Watch.
 type Page struct {
 	Rows    []Row
-	More    bool
-	Version uint64 // the store's newest version at the time of the answer
-	// Received is the answer as it came in, if the store has a network in between.
+	More    bool   // there are further rows after the last one
+	Version uint64 // the version of the store at the time of the response
+	// Received holds the size and transfer time of the response, if it was sent over a
+	// network.
 	Received transfer.Received
 }
 
-// Store is the row store. Errors are ConflictError, UnavailableError,
+// Store is a transactional row store. Its methods return ConflictError, UnavailableError,
 // UnknownError and HistoryLostError.
 type Store interface {
 	// Commit applies a transaction and returns the version of the rows it wrote.
 	Commit(ctx context.Context, transaction Transaction) (uint64, error)
-	// Read returns rows of one partition whose names are from or later, by name, at most limit of
-	// them; 0: as many as a page holds.
+	// Read returns the rows of one partition whose names are not less than from, in the order
+	// of their names, limit at most. A limit of 0 selects MaxPage.
 	Read(ctx context.Context, table, partition, from string, limit int) (Page, error)
-	// Watch returns the rows of a table that changed after a version, as soon as
-	// there are any, or an empty page after wait.
+	// Watch returns the rows of a table, in all partitions, that changed after a version. It
+	// waits until there are any, and returns an empty page if there are none within wait.
 	Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error)
 }
 
-// ReadAll reads a whole partition of a table, page by page. The version is that
-// of the first page, so that a feed from there misses nothing.
+// ReadAll reads all rows of a partition of a table, page by page. The version returned is
+// that of the first page, so that a Watch after it misses no change made in between.
 func ReadAll(ctx context.Context, store Store, table, partition string) (Page, error) {
 	var all Page
 	from := ""
@@ -97,7 +99,7 @@
 	}
 }
 
-// ReadOne reads a single row; an absent row has Version 0.
+// ReadOne reads a single row. The Version is 0 if the row does not exist.
 func ReadOne(ctx context.Context, store Store, key Key) (Row, error) {
 	page, err := store.Read(ctx, key.Table, key.Partition, key.Name, 1)
 	if err != nil {
@@ -109,35 +111,36 @@
 	return Row{Key: key}, nil
 }
 
-// ConflictError says that a condition did not hold. Rows are those of the
-// conditions as they are.
+// ConflictError reports that a condition of a transaction did not hold. Nothing was
+// written. Rows holds the current row of each condition.
 type ConflictError struct{ Rows []Row }
 
-func (e *ConflictError) Error() string { return "a condition of the transaction did not hold" }
+func (e *ConflictError) Error() string { return "transaction conflict: a condition did not hold" }
 
-// UnavailableError says that the store refused a call; nothing was done.
+// UnavailableError reports that a call did not reach the store or was rejected by it.
+// Nothing was written.
 type UnavailableError struct{ Cause error }
 
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("the store refused the call: %v", e.Cause)
+	return fmt.Sprintf("store unavailable: %v", e.Cause)
 }
 
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UnknownError says that a call had no answer: it may have been done, or may
-// still be done while its conditions hold.
+// UnknownError reports that a call had no response. Its transaction may have been applied,
+// or may still be applied later if its conditions hold then.
 type UnknownError struct{ Cause error }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("the store did not answer: %v", e.Cause)
+	return fmt.Sprintf("no response from the store: %v", e.Cause)
 }
 
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// HistoryLostError says that a feed cannot continue from a version; read all
-// rows anew.
+// HistoryLostError reports that the store no longer has the changes after a version. The
+// caller must read all rows again.
 type HistoryLostError struct{ After uint64 }
 
 func (e *HistoryLostError) Error() string {
-	return fmt.Sprintf("the history after version %d is gone", e.After)
+	return fmt.Sprintf("changes after version %d are no longer available", e.After)
 }
