--- a/rowstore/follow.go
+++ b/rowstore/follow.go
@@ -12,69 +12,73 @@
 )
 
 const (
-	// followWait is how long one call of a feed may stay open without news, and followQuiet
-	// for how long nothing may come of it. They are short so that a feed whose connection
-	// has silently gone is noticed soon. A long answer takes as long as it takes.
-	followWait  = 2 * time.Second
-	followQuiet = followWait + 500*time.Millisecond
-	// followPause follows a call that failed. From one failed call to the next the time doubles up
-	// to followRest, so that a store that turns many callers away is not asked by all of them all
-	// the time.
-	followPause = 100 * time.Millisecond
-	followRest  = 800 * time.Millisecond
-	// newsGap is the least time between two calls that bring news. A table of which a row
-	// changes each millisecond would otherwise be told a thousand times a second.
-	newsGap = 50 * time.Millisecond
-	// shortWait replaces followWait at a store that takes slowAnswer or more for an answer,
-	// so that its calls without news have four times as long.
-	shortWait  = 500 * time.Millisecond
-	slowAnswer = 250 * time.Millisecond
-	// readQuiet is for how long nothing may come while all rows are read, at the first try.
-	// A store that is slow needs more: each failure doubles it, up to followQuiet.
-	readQuiet = time.Second
+	// maxPollWait is the longest time that a Watch call waits for changes.
+	maxPollWait = 2 * time.Second
+	// pollStallTimeout is how long a Watch call may make no progress before it is canceled.
+	// It exceeds maxPollWait only by a short margin so that a dead connection is detected
+	// quickly. The total duration of a response is not limited.
+	pollStallTimeout = maxPollWait + 500*time.Millisecond
+	// minRetryDelay is the minimum time between a failed call and the next one. The time
+	// between the starts of calls doubles with each consecutive failure, up to
+	// maxRetryDelay, to limit the load on a store that rejects many clients.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// minUpdateInterval is the minimum time between the starts of two calls if the first
+	// returned changes. It limits the call rate for a table that changes constantly.
+	minUpdateInterval = 50 * time.Millisecond
+	// reducedPollWait replaces maxPollWait after a failed Watch call, to leave a slow store
+	// more of pollStallTimeout for its response. It applies until the store answers a Watch
+	// call without changes less than slowResponse after the requested wait.
+	reducedPollWait = 500 * time.Millisecond
+	slowResponse    = 250 * time.Millisecond
+	// minReadStallTimeout is how long the first attempt to read all rows may make no
+	// progress. It doubles with each failure, up to pollStallTimeout, for slow stores.
+	minReadStallTimeout = time.Second
 )
 
-// Reach is told how calls to a store go. The zero Reach tells nobody.
+// Reach holds the callbacks and options of Follow. All fields are optional.
 type Reach struct {
-	// Answered is called once an answer is whole and changed has taken it in.
+	// Answered is called after each complete response has been processed.
 	Answered func()
-	Failed   func(*FollowError)
-	// Progressed is called whenever something of an answer has come.
+	// Failed is called after each failed call.
+	Failed func(*FollowError)
+	// Progressed is called whenever part of a response arrives.
 	Progressed func()
-	// Received is told of each answer of a table, as it came in.
+	// Received is called with the size and duration of each complete response.
 	Received func(table string, answer transfer.Received)
-	// Current is told, once an answer is taken in, of which version the rows are. They were so at
-	// asOf or later.
+	// Current is called after each response that leaves the rows up to date, with their
+	// version. The rows reflect the state of the store at asOf or later.
 	Current func(version uint64, asOf clock.Instant)
-	// Wait, if given, tells for how long a call of the feed may stay open without news; 0: 2 s. What
-	// is known of the rows is at most as old as two such calls.
+	// Wait returns the longest time that a Watch call waits for changes; 0 selects the
+	// default of 2 s, which is also the maximum. While calls succeed, the copy is at most
+	// two such waits old.
 	Wait func() time.Duration
 }
 
-// wait returns for how long a call of the feed stays open at the most.
-func (r Reach) wait() time.Duration {
+// pollWait returns the longest time that the next Watch call may wait for changes.
+func (r Reach) pollWait() time.Duration {
 	if r.Wait == nil {
-		return followWait
+		return maxPollWait
 	}
 	if wait := r.Wait(); wait > 0 {
-		return min(wait, followWait)
+		return min(wait, maxPollWait)
 	}
-	return followWait
+	return maxPollWait
 }
 
-func (r Reach) current(version uint64, asOf clock.Instant) {
+func (r Reach) notifySynced(version uint64, asOf clock.Instant) {
 	if r.Current != nil {
 		r.Current(version, asOf)
 	}
 }
 
-func (r Reach) failed(err *FollowError) {
+func (r Reach) notifyFailed(err *FollowError) {
 	if r.Failed != nil {
 		r.Failed(err)
 	}
 }
 
-func (r Reach) answered(table string, answer transfer.Received) {
+func (r Reach) notifyResponse(table string, answer transfer.Received) {
 	if r.Answered != nil {
 		r.Answered()
 	}
@@ -83,103 +87,105 @@
 	}
 }
 
-// Exchange is one of the two calls of Follow.
-type Exchange string
+// RequestKind is the kind of a call that Follow makes.
+type RequestKind string
 
-// The exchanges of Follow.
+// The kinds of calls that Follow makes.
 const (
-	Feed  Exchange = "feed"  // the changes since a version
-	Whole Exchange = "whole" // all rows
+	WatchRequest    RequestKind = "feed"  // the changes after a version
+	SnapshotRequest RequestKind = "whole" // all rows of the partition
 )
 
-// FollowError says which call of Follow failed. The call is made again.
+// FollowError reports a failed call of Follow. Follow retries it.
 type FollowError struct {
 	Table    string
-	Exchange Exchange
+	Exchange RequestKind
 	Took     time.Duration
 	Cause    error
 }
 
 func (e *FollowError) Error() string {
-	return fmt.Sprintf("%s of table %s, after %v: %v", e.Exchange, e.Table, e.Took.Round(time.Millisecond), e.Cause)
+	return fmt.Sprintf("%s request for table %s failed after %v: %v", e.Exchange, e.Table, e.Took.Round(time.Millisecond), e.Cause)
 }
 
 func (e *FollowError) Unwrap() error { return e.Cause }
 
-// Follow keeps a partition of a table in memory and calls changed with all its
-// rows after the first read and after each change, until ctx ends. Failed calls
-// are tried again.
+// Follow keeps a copy of one partition of a table in memory until ctx is done. It calls
+// changed with all rows after the first read and after each response with changes. Later
+// updates modify the same map, so changed must not retain it. Failed calls are retried.
 func Follow(ctx context.Context, store Store, table, partition string, changed func(map[string]Row), reach Reach) {
 	f := follower{
-		store: store, table: table, partition: partition, wait: reach.wait(), quiet: readQuiet, progressed: reach.Progressed,
+		store: store, table: table, partition: partition, pollWait: reach.pollWait(), readStallTimeout: minReadStallTimeout, onProgress: reach.Progressed,
 	}
-	pause := followPause
+	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
-		f.longest = reach.wait()
-		begun, asOf, exchange := time.Now(), clock.Now(), f.exchange()
-		news, received, err := f.step(ctx)
+		f.maxPollWait = reach.pollWait()
+		start, asOf, request := time.Now(), clock.Now(), f.nextRequest()
+		updated, received, err := f.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			reach.failed(&FollowError{table, exchange, time.Since(begun), err})
-			wait.For(ctx, max(followPause, pause-time.Since(begun)))
-			pause = min(followRest, 2*pause)
+			reach.notifyFailed(&FollowError{table, request, time.Since(start), err})
+			wait.For(ctx, max(minRetryDelay, retryDelay-time.Since(start)))
+			retryDelay = min(maxRetryDelay, 2*retryDelay)
 			continue
 		}
-		pause = followPause
-		if news {
+		retryDelay = minRetryDelay
+		if updated {
 			changed(f.rows)
 		}
 		if f.rows != nil {
-			reach.current(f.version, asOf)
+			reach.notifySynced(f.version, asOf)
 		}
-		reach.answered(table, received)
-		if news {
-			wait.For(ctx, newsGap-time.Since(begun))
+		reach.notifyResponse(table, received)
+		if updated {
+			wait.For(ctx, minUpdateInterval-time.Since(start))
 		}
 	}
 }
 
+// follower holds the state of one Follow call.
 type follower struct {
-	store            Store
-	table, partition string
-	rows             map[string]Row // nil before the first read
-	version          uint64
-	longest, wait    time.Duration // for how long a call of the feed stays open at the most, and now
-	quiet            time.Duration // for how long nothing may come while all rows are read
-	progressed       func()        // nil: nobody is told
+	store                 Store
+	table, partition      string
+	rows                  map[string]Row // nil before the first read
+	version               uint64
+	maxPollWait, pollWait time.Duration
+	readStallTimeout      time.Duration
+	onProgress            func() // may be nil
 }
 
-// exchange is what step does next.
-func (f *follower) exchange() Exchange {
+// nextRequest returns the kind of the call that step makes next.
+func (f *follower) nextRequest() RequestKind {
 	if f.rows == nil {
-		return Whole
+		return SnapshotRequest
 	}
-	return Feed
+	return WatchRequest
 }
 
-// step reads everything, or waits for the next changes.
-func (f *follower) step(ctx context.Context) (news bool, received transfer.Received, err error) {
+// step reads all rows if there is no copy yet, else waits for changes and applies them.
+// updated reports whether the rows may have changed.
+func (f *follower) step(ctx context.Context) (updated bool, received transfer.Received, err error) {
 	if f.rows == nil {
 		received, err = f.readAll(ctx)
 		return err == nil, received, err
 	}
-	callCtx, cancel := transfer.WithStallLimit(ctx, followQuiet, f.progressed)
+	callCtx, cancel := transfer.WithStallLimit(ctx, pollStallTimeout, f.onProgress)
 	defer cancel()
-	begun := time.Now()
-	f.wait = min(f.wait, f.longest)
-	page, err := f.store.Watch(callCtx, f.table, f.version, f.wait)
-	f.adaptWait(time.Since(begun), len(page.Rows), err)
+	start := time.Now()
+	f.pollWait = min(f.pollWait, f.maxPollWait)
+	page, err := f.store.Watch(callCtx, f.table, f.version, f.pollWait)
+	f.adjustPollWait(time.Since(start), len(page.Rows), err)
 	var (
-		lost  *HistoryLostError
-		large *transfer.TooLargeError
+		historyLost *HistoryLostError
+		tooLarge    *transfer.TooLargeError
 	)
 	switch {
-	case errors.As(err, &lost):
+	case errors.As(err, &historyLost):
 		f.rows = nil
 		return false, received, nil
-	case errors.As(err, &large): // many changes of large rows: the rows as they are now take less
+	case errors.As(err, &tooLarge): // a snapshot can be smaller than the list of changes
 		f.rows = nil
 		return false, received, err
 	case err != nil:
@@ -189,7 +195,7 @@
 		if row.Partition != f.partition {
 			continue
 		}
-		news = true
+		updated = true
 		if row.Deleted {
 			delete(f.rows, row.Name)
 		} else {
@@ -197,29 +203,30 @@
 		}
 	}
 	f.version = max(f.version, page.Version)
-	return news, page.Received, nil
+	return updated, page.Received, nil
 }
 
-// adaptWait chooses how long the next call of the feed stays open, from one that took so
-// long and brought so many rows: only one without news tells how quick the store is.
-func (f *follower) adaptWait(took time.Duration, rows int, err error) {
+// adjustPollWait sets the wait of the next Watch call from the outcome of the last one.
+// Only a call without changes shows the latency of the store: one with changes returns
+// before its wait has passed.
+func (f *follower) adjustPollWait(took time.Duration, rows int, err error) {
 	switch {
 	case err != nil:
-		f.wait = min(shortWait, f.longest)
-	case rows == 0 && took-f.wait < slowAnswer:
-		f.wait = f.longest
+		f.pollWait = min(reducedPollWait, f.maxPollWait)
+	case rows == 0 && took-f.pollWait < slowResponse:
+		f.pollWait = f.maxPollWait
 	}
 }
 
 func (f *follower) readAll(ctx context.Context) (transfer.Received, error) {
-	callCtx, cancel := transfer.WithStallLimit(ctx, f.quiet, f.progressed)
+	callCtx, cancel := transfer.WithStallLimit(ctx, f.readStallTimeout, f.onProgress)
 	defer cancel()
 	all, err := ReadAll(callCtx, f.store, f.table, f.partition)
 	if err != nil {
-		f.quiet = min(followQuiet, 2*f.quiet)
+		f.readStallTimeout = min(pollStallTimeout, 2*f.readStallTimeout)
 		return transfer.Received{}, err
 	}
-	f.quiet = readQuiet
+	f.readStallTimeout = minReadStallTimeout
 	f.rows = make(map[string]Row, len(all.Rows))
 	for _, row := range all.Rows {
 		f.rows[row.Name] = row
--- a/rowstore/follow_test.go
+++ b/rowstore/follow_test.go
@@ -16,13 +16,13 @@
 
 const table = "t"
 
-// view is what Follow has told of a table.
-type view struct {
+// tableView records the rows that Follow last reported: the first byte of each value.
+type tableView struct {
 	mu   sync.Mutex
 	rows map[string]string
 }
 
-func (v *view) take(rows map[string]rowstore.Row) {
+func (v *tableView) update(rows map[string]rowstore.Row) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.rows = map[string]string{}
@@ -31,8 +31,8 @@
 	}
 }
 
-// assertWithin waits until a row is shown with a value.
-func (v *view) assertWithin(t *testing.T, name, value string, within time.Duration) {
+// assertWithin checks that a row gets a value within a time.
+func (v *tableView) assertWithin(t *testing.T, name, value string, within time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		v.mu.Lock()
@@ -42,7 +42,7 @@
 			return
 		}
 	}
-	t.Errorf("row %s is not %q after %v", name, value, within)
+	t.Errorf("row %s: want %q within %v", name, value, within)
 }
 
 func write(t *testing.T, store *memory.Store, name, value string, bytes int) {
@@ -55,18 +55,18 @@
 	}
 }
 
-// following runs test while a caller's view follows the table.
-func following(t *testing.T, before func(*memory.Store, *memory.Caller), test func(*testing.T, *memory.Store, *memory.Caller, *view)) {
+// runFollow calls setup, then test while Follow keeps a tableView of the table up to date.
+func runFollow(t *testing.T, setup func(*memory.Store, *memory.Caller), test func(*testing.T, *memory.Store, *memory.Caller, *tableView)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		caller := store.Caller()
-		before(store, caller)
+		setup(store, caller)
 		ctx, cancel := context.WithCancel(t.Context())
-		var v view
+		var v tableView
 		done := make(chan struct{})
 		go func() {
-			rowstore.Follow(ctx, caller, table, "", v.take, rowstore.Reach{})
+			rowstore.Follow(ctx, caller, table, "", v.update, rowstore.Reach{})
 			close(done)
 		}()
 		test(t, store, caller, &v)
@@ -75,43 +75,43 @@
 	})
 }
 
-// Answers that take longer than any limit for an exchange without news are read to
-// their end, whole tables and changes alike.
-func TestLongAnswersAreReadToTheirEnd(t *testing.T) {
-	const rate, bytes = 100_000, 1_000_000 // ten seconds
-	following(t, func(store *memory.Store, caller *memory.Caller) {
+// Responses that make progress must not time out, however long the transfer takes. This
+// holds for snapshots and for changes.
+func TestFollowReadsLongResponses(t *testing.T) {
+	const rate, bytes = 100_000, 1_000_000 // 10 s per transfer
+	runFollow(t, func(store *memory.Store, caller *memory.Caller) {
 		write(t, store, "a", "1", bytes)
 		caller.SetLink(peertest.NewLink(rate).Carry)
-	}, func(t *testing.T, store *memory.Store, _ *memory.Caller, v *view) {
+	}, func(t *testing.T, store *memory.Store, _ *memory.Caller, v *tableView) {
 		v.assertWithin(t, "a", "1", 11*time.Second)
 		write(t, store, "a", "2", bytes)
 		v.assertWithin(t, "a", "2", 11*time.Second)
 	})
 }
 
-// A store that takes longer for an answer than the first try allows is read all the same.
-func TestASlowStoreIsFollowed(t *testing.T) {
-	following(t, func(store *memory.Store, caller *memory.Caller) {
+// The stall timeout of reads must grow until a slow store can answer within it.
+func TestFollowRetriesSlowStore(t *testing.T) {
+	runFollow(t, func(store *memory.Store, caller *memory.Caller) {
 		write(t, store, "a", "1", 1)
 		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 1800 * time.Millisecond} })
-	}, func(t *testing.T, _ *memory.Store, _ *memory.Caller, v *view) {
+	}, func(t *testing.T, _ *memory.Store, _ *memory.Caller, v *tableView) {
 		v.assertWithin(t, "a", "1", 6*time.Second)
 	})
 }
 
-// A store that is slower than the slack of a call with the longest wait is no store that
-// fails: it is asked to wait for less.
-func TestASlowStoreDoesNotCountAsFailing(t *testing.T) {
+// A store with a latency above pollStallTimeout-maxPollWait must not make Watch calls fail
+// repeatedly: their wait is reduced.
+func TestFollowAdaptsToSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		caller := store.Caller()
 		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 800 * time.Millisecond} })
 		ctx, cancel := context.WithCancel(t.Context())
-		var v view
+		var v tableView
 		failed := 0
 		done := make(chan struct{})
 		go func() {
-			rowstore.Follow(ctx, caller, table, "", v.take, rowstore.Reach{Failed: func(*rowstore.FollowError) { failed++ }})
+			rowstore.Follow(ctx, caller, table, "", v.update, rowstore.Reach{Failed: func(*rowstore.FollowError) { failed++ }})
 			close(done)
 		}()
 		time.Sleep(20 * time.Second)
@@ -124,16 +124,16 @@
 		cancel()
 		<-done
 		if failed > 1 {
-			t.Errorf("%d calls failed, want 1 at most", failed)
+			t.Errorf("got %d failed calls, want at most 1", failed)
 		}
 	})
 }
 
-// A store that falls silent in the middle of an answer is asked again soon.
-func TestAnAnswerThatStopsIsAskedForAgain(t *testing.T) {
+// A response that stalls must be canceled and requested again.
+func TestFollowRetriesStalledResponse(t *testing.T) {
 	link := peertest.NewLink(1_000_000)
 	stopped := false
-	following(t, func(_ *memory.Store, caller *memory.Caller) {
+	runFollow(t, func(_ *memory.Store, caller *memory.Caller) {
 		caller.SetLink(func(ctx context.Context, bytes int) error {
 			if err := link.Carry(ctx, bytes); err != nil || stopped || link.Carried() < 100_000 {
 				return err
@@ -142,20 +142,20 @@
 			<-ctx.Done()
 			return ctx.Err()
 		})
-	}, func(t *testing.T, store *memory.Store, _ *memory.Caller, v *view) {
+	}, func(t *testing.T, store *memory.Store, _ *memory.Caller, v *tableView) {
 		write(t, store, "a", "1", 500_000)
 		v.assertWithin(t, "a", "1", 4*time.Second)
 		if !stopped {
-			t.Error("the answer did not stop")
+			t.Error("no response stalled")
 		}
 	})
 }
 
-// tooLarge is a store whose feed answers more than a reader takes once there are changes.
-type tooLarge struct{ rowstore.Store }
+// oversizedFeed is a store whose Watch fails with TooLargeError if there are changes.
+type oversizedFeed struct{ rowstore.Store }
 
 // Watch implements rowstore.Store.
-func (s tooLarge) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (rowstore.Page, error) {
+func (s oversizedFeed) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (rowstore.Page, error) {
 	page, err := s.Store.Watch(ctx, table, after, wait)
 	if err == nil && len(page.Rows) > 0 {
 		return rowstore.Page{}, &rowstore.UnknownError{Cause: &transfer.TooLargeError{Limit: 1}}
@@ -163,17 +163,18 @@
 	return page, err
 }
 
-// Changes that together are too large for one answer are replaced by the rows as they are.
-func TestTooManyChangesAreReadAsAWhole(t *testing.T) {
+// If the changes exceed the size limit of a response, Follow must read a snapshot instead
+// of requesting them again.
+func TestFollowReadsSnapshotAfterTooLargeFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		ctx, cancel := context.WithCancel(t.Context())
-		var v view
+		var v tableView
 		var failures []error
 		reach := rowstore.Reach{Failed: func(err *rowstore.FollowError) { failures = append(failures, err) }}
 		done := make(chan struct{})
 		go func() {
-			rowstore.Follow(ctx, tooLarge{store.Caller()}, table, "", v.take, reach)
+			rowstore.Follow(ctx, oversizedFeed{store.Caller()}, table, "", v.update, reach)
 			close(done)
 		}()
 		time.Sleep(time.Second)
@@ -181,27 +182,26 @@
 		v.assertWithin(t, "a", "1", time.Second)
 		cancel()
 		<-done
-		var large *transfer.TooLargeError
-		if len(failures) != 1 || !errors.As(failures[0], &large) {
-			t.Errorf("told of %v", failures)
+		var tooLarge *transfer.TooLargeError
+		if len(failures) != 1 || !errors.As(failures[0], &tooLarge) {
+			t.Errorf("got failures %v, want a single TooLargeError", failures)
 		}
 	})
 }
 
-// A table of which something changes all the time is asked for at bounded intervals, and
-// the last change is told all the same.
-func TestSteadyChangesAreToldTogether(t *testing.T) {
+// Frequent changes must be batched to bound the call rate, without losing the last one.
+func TestFollowBatchesFrequentChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		write(t, store, "a", "0", 1)
 		ctx, cancel := context.WithCancel(t.Context())
-		var v view
-		told := 0
+		var v tableView
+		updates := 0
 		done := make(chan struct{})
 		go func() {
 			rowstore.Follow(ctx, store, table, "", func(rows map[string]rowstore.Row) {
-				told++
-				v.take(rows)
+				updates++
+				v.update(rows)
 			}, rowstore.Reach{})
 			close(done)
 		}()
@@ -213,18 +213,19 @@
 		v.assertWithin(t, "a", "2", 100*time.Millisecond)
 		cancel()
 		<-done
-		if told > 25 {
-			t.Errorf("told %d times in a second, want 25 at most", told)
+		if updates > 25 {
+			t.Errorf("got %d updates in a second, want at most 25", updates)
 		}
 	})
 }
 
-// A store that refuses every call is asked seldom, and soon again once it serves.
-func TestFollowAsksARefusingStoreSeldom(t *testing.T) {
+// Follow must back off from a store that rejects all calls, and recover soon after it
+// answers again.
+func TestFollowBacksOffFromRejectingStore(t *testing.T) {
 	const (
-		refused = 9 * time.Second
-		// mostCalls is for calls 0.1, 0.2, 0.4 and 0.8 s after one another, and each 0.8 s.
-		mostCalls = 16
+		outage = 9 * time.Second
+		// maxCalls allows for retry intervals of 0.1, 0.2 and 0.4 s, then 0.8 s each.
+		maxCalls = 16
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -234,15 +235,15 @@
 		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		read := make(chan struct{}, 1)
 		go rowstore.Follow(ctx, caller, table, "", func(map[string]rowstore.Row) { read <- struct{}{} }, rowstore.Reach{})
-		time.Sleep(refused)
-		if calls := caller.Calls(); calls > mostCalls {
-			t.Errorf("%d calls in %v, want %d at most", calls, refused, mostCalls)
+		time.Sleep(outage)
+		if calls := caller.Calls(); calls > maxCalls {
+			t.Errorf("got %d calls in %v, want at most %d", calls, outage, maxCalls)
 		}
 		caller.SetFault(nil)
 		select {
 		case <-read:
 		case <-time.After(time.Second):
-			t.Error("nothing was read for a second")
+			t.Error("no read within a second after the store recovered")
 		}
 	})
 }
