--- a/rowstore/memory/memory.go
+++ b/rowstore/memory/memory.go
@@ -1,12 +1,12 @@
-// Package memory keeps a row store in memory, for tests. It does what package
-// rowstore asks of a store, and fails in the ways that callers must bear: it can
-// be slow or down, lose answers, carry calls out late, turn some callers away,
-// and forget its history.
+// Package memory implements a row store in memory, for tests. It can inject the faults
+// that clients of a store must handle: delays, rejected calls, lost requests and responses,
+// transactions applied late, and loss of the change history. Faults are set per client.
 package memory
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"sort"
 	"sync"
 	"time"
@@ -16,15 +16,15 @@
 	"chutereach/wait"
 )
 
-// Store is a row store in memory. The zero Store is not usable; call New.
+// Store is a row store in memory. Use New to create one.
 type Store struct {
-	mu      sync.Mutex
-	rows    map[rowstore.Key]rowstore.Row
-	history []rowstore.Row // every change, in order
-	forgot  uint64         // history up to this version is gone
-	version uint64
-	changed chan struct{}
-	commits int
+	mu            sync.Mutex
+	rows          map[rowstore.Key]rowstore.Row
+	history       []rowstore.Row // all changes in order of their version
+	discardedUpTo uint64         // changes up to this version have been discarded
+	version       uint64
+	changed       chan struct{} // closed and replaced when the history changes
+	commits       int
 }
 
 // New returns an empty store.
@@ -32,14 +32,14 @@
 	return &Store{rows: map[rowstore.Key]rowstore.Row{}, changed: make(chan struct{})}
 }
 
-// Commits returns how many transactions were applied.
+// Commits returns the number of transactions that were applied.
 func (s *Store) Commits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commits
 }
 
-// Row returns a row as it is.
+// Row returns the row with the given key, and whether it exists.
 func (s *Store) Row(key rowstore.Key) (rowstore.Row, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,11 +47,12 @@
 	return row, ok
 }
 
-// ForgetHistory makes feeds from before now fail.
+// ForgetHistory discards all changes, so that Watch from an earlier version fails with
+// HistoryLostError.
 func (s *Store) ForgetHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgot, s.history = s.version, nil
+	s.discardedUpTo, s.history = s.version, nil
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -80,7 +81,7 @@
 
 func (s *Store) check(transaction rowstore.Transaction) error {
 	if n := len(transaction.Conditions) + len(transaction.Puts) + len(transaction.Deletes); n > rowstore.MaxEntries {
-		return &rowstore.UnavailableError{Cause: errors.New("too many entries")}
+		return &rowstore.UnavailableError{Cause: fmt.Errorf("transaction has %d entries, want at most %d", n, rowstore.MaxEntries)}
 	}
 	met := true
 	var rows []rowstore.Row
@@ -107,7 +108,8 @@
 	s.history = append(s.history, row)
 }
 
-// RowsWritten counts the changes of rows of a table.
+// RowsWritten returns the number of changes to rows of a table since the last
+// ForgetHistory.
 func (s *Store) RowsWritten(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +164,7 @@
 func (s *Store) changes(table string, after uint64) (rowstore.Page, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.forgot {
+	if after < s.discardedUpTo {
 		return rowstore.Page{}, nil, &rowstore.HistoryLostError{After: after}
 	}
 	page := rowstore.Page{Version: s.version}
@@ -174,123 +176,124 @@
 	return page, s.changed, nil
 }
 
-// Fault is what happens to a call.
+// Fault describes how a call fails or is delayed. The zero Fault has no effect.
 type Fault struct {
-	Slow   time.Duration // it takes this much longer
-	Return time.Duration // its answer takes this much longer, after it is done
-	Refuse bool          // it is refused; nothing is done
-	Silent bool          // it is not done, and there is no answer
-	Mute   bool          // it is done, and there is no answer
-	Late   time.Duration // it is done this much later, and there is no answer
+	Slow   time.Duration // delay before the call is processed
+	Return time.Duration // delay of the response to a Commit, after it is applied
+	Refuse bool          // the call fails with UnavailableError and has no effect
+	Silent bool          // the call has no effect and no response
+	Mute   bool          // a Commit is applied but has no response
+	Late   time.Duration // a Commit is applied after this delay and has no response
 }
 
-// latency is how long a call takes.
+// latency is the duration of a call without faults.
 const latency = 5 * time.Millisecond
 
-// Caller is the store as one caller reaches it. Its faults can be changed at any
-// time.
+// Caller is one client's access to a Store, with its own faults and links. They can be
+// changed at any time.
 type Caller struct {
-	store *Store
-	mu    sync.Mutex
-	fault func(write bool) Fault
-	// observe, if given, is told the pages that this caller is sent.
-	observe func(rowstore.Page)
-	calls   int
-	down    Carry // of answers
-	up      Carry // of transactions
+	store    *Store
+	mu       sync.Mutex
+	fault    func(write bool) Fault
+	observe  func(rowstore.Page) // called with each page before it is sent; may be nil
+	calls    int
+	downlink LinkFunc // for responses; nil: no delay
+	uplink   LinkFunc // for transactions; nil: no delay
 }
 
-// Carry waits until so many bytes have passed a link.
-type Carry func(ctx context.Context, bytes int) error
+// LinkFunc waits for the time that a simulated network link takes to transmit a number of
+// bytes.
+type LinkFunc func(ctx context.Context, bytes int) error
 
-// piece is how many bytes of an answer come in at once.
-const piece = 4 << 10
+// chunkSize is the number of bytes that are transmitted at once.
+const chunkSize = 4 << 10
 
-// Caller returns the store as a new caller reaches it.
+// Caller returns a new Caller for the store, without faults or links.
 func (s *Store) Caller() *Caller { return &Caller{store: s} }
 
-// SetFault has f decide what happens to each call; nil: nothing does.
+// SetFault sets the function that returns the fault of each call; write is true for
+// Commit. A nil function removes all faults.
 func (c *Caller) SetFault(f func(write bool) Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
 }
 
-// SetLink has answers with rows pass a link.
-func (c *Caller) SetLink(carry Carry) {
+// SetLink sets the link that transmits the rows of responses.
+func (c *Caller) SetLink(link LinkFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down = carry
+	c.downlink = link
 }
 
-// SetUplink has what transactions write pass a link.
-func (c *Caller) SetUplink(carry Carry) {
+// SetUplink sets the link that transmits the rows of transactions.
+func (c *Caller) SetUplink(link LinkFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.up = carry
+	c.uplink = link
 }
 
-// pass lets so many bytes pass a link, piece by piece.
-func (carry Carry) pass(ctx context.Context, size int) error {
-	begun := time.Now()
-	for passed := 0; carry != nil && passed < size; passed += piece {
-		if err := carry(ctx, min(piece, size-passed)); err != nil {
-			return &transfer.BrokenOffError{Received: transfer.Received{Bytes: passed, Took: time.Since(begun)}, Cause: err}
+// transmit sends size bytes through the link in chunks and notes progress after each.
+func (link LinkFunc) transmit(ctx context.Context, size int) error {
+	start := time.Now()
+	for sent := 0; link != nil && sent < size; sent += chunkSize {
+		if err := link(ctx, min(chunkSize, size-sent)); err != nil {
+			return &transfer.BrokenOffError{Received: transfer.Received{Bytes: sent, Took: time.Since(start)}, Cause: err}
 		}
 		transfer.Progressed(ctx)
 	}
 	return nil
 }
 
-// Calls counts the calls that were made.
+// Calls returns the number of calls that were made.
 func (c *Caller) Calls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// Observe has f called with each page that this caller is sent from now on.
+// Observe calls f with each further page that is sent to this client.
 func (c *Caller) Observe(f func(rowstore.Page)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.observe = f
 }
 
-// receive lets an answer come in.
+// receive simulates the transfer of a response.
 func (c *Caller) receive(ctx context.Context, page rowstore.Page) (rowstore.Page, error) {
 	c.mu.Lock()
-	down, observe := c.down, c.observe
+	link, observe := c.downlink, c.observe
 	c.mu.Unlock()
 	if observe != nil {
 		observe(page)
 	}
-	size, begun := 0, time.Now()
+	size, start := 0, time.Now()
 	for _, row := range page.Rows {
 		size += len(row.Value)
 	}
-	if err := down.pass(ctx, size); err != nil {
+	if err := link.transmit(ctx, size); err != nil {
 		return rowstore.Page{}, &rowstore.UnknownError{Cause: err}
 	}
-	page.Received = transfer.Received{Bytes: size, Took: time.Since(begun)}
+	page.Received = transfer.Received{Bytes: size, Took: time.Since(start)}
 	return page, nil
 }
 
-// send lets a transaction go out.
+// send simulates the transfer of a transaction.
 func (c *Caller) send(ctx context.Context, transaction rowstore.Transaction) error {
 	c.mu.Lock()
-	up := c.up
+	link := c.uplink
 	c.mu.Unlock()
 	size := 0
 	for _, put := range transaction.Puts {
 		size += len(put.Value)
 	}
-	if err := up.pass(ctx, size); err != nil {
+	if err := link.transmit(ctx, size); err != nil {
 		return &rowstore.UnknownError{Cause: err}
 	}
 	return nil
 }
 
-func (c *Caller) next(write bool) Fault {
+func (c *Caller) nextFault(write bool) Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -300,14 +303,15 @@
 	return c.fault(write)
 }
 
-// pass lets a call through, or returns what became of it.
-func (c *Caller) pass(ctx context.Context, fault Fault) error {
+// applyFault waits for the latency and delay of a call, and returns an error if the fault
+// keeps it from the store.
+func (c *Caller) applyFault(ctx context.Context, fault Fault) error {
 	if wait.For(ctx, latency+fault.Slow) != nil {
 		return &rowstore.UnknownError{Cause: ctx.Err()}
 	}
 	switch {
 	case fault.Refuse:
-		return &rowstore.UnavailableError{Cause: errors.New("refused by a fault")}
+		return &rowstore.UnavailableError{Cause: errors.New("rejected by an injected fault")}
 	case fault.Silent:
 		<-ctx.Done()
 		return &rowstore.UnknownError{Cause: ctx.Err()}
@@ -317,11 +321,11 @@
 
 // Commit implements rowstore.Store.
 func (c *Caller) Commit(ctx context.Context, transaction rowstore.Transaction) (uint64, error) {
-	fault := c.next(true)
+	fault := c.nextFault(true)
 	if err := c.send(ctx, transaction); err != nil {
 		return 0, err
 	}
-	if err := c.pass(ctx, fault); err != nil {
+	if err := c.applyFault(ctx, fault); err != nil {
 		return 0, err
 	}
 	if fault.Late > 0 {
@@ -345,7 +349,7 @@
 
 // Read implements rowstore.Store.
 func (c *Caller) Read(ctx context.Context, table, partition, from string, limit int) (rowstore.Page, error) {
-	if err := c.pass(ctx, c.next(false)); err != nil {
+	if err := c.applyFault(ctx, c.nextFault(false)); err != nil {
 		return rowstore.Page{}, err
 	}
 	page, err := c.store.Read(ctx, table, partition, from, limit)
@@ -357,7 +361,7 @@
 
 // Watch implements rowstore.Store.
 func (c *Caller) Watch(ctx context.Context, table string, after uint64, limit time.Duration) (rowstore.Page, error) {
-	if err := c.pass(ctx, c.next(false)); err != nil {
+	if err := c.applyFault(ctx, c.nextFault(false)); err != nil {
 		return rowstore.Page{}, err
 	}
 	page, err := c.store.Watch(ctx, table, after, limit)
