--- a/settings/node.go
+++ b/settings/node.go
@@ -11,8 +11,8 @@
 	"chutereach/ini"
 )
 
-// Node is everything that the daemon can be told when it runs as a node of a
-// system on the users' platform.
+// Node holds all settings of a daemon that runs as a node of a system on the users'
+// platform.
 type Node struct {
 	Config string `short:"c" long:"config" env:"CHUTEREACH_SETTINGS" no-ini:"true" description:"INI file with settings" value-name:"FILE"`
 	Check  bool   `long:"check" no-ini:"true" description:"check the settings, print those in effect, and exit"`
@@ -24,16 +24,16 @@
 	Worker NodeWorker `group:"worker" namespace:"worker"`
 	Log    NodeLog    `group:"log" namespace:"log"`
 
-	// Defaulted are the platform's figures that the file lacks; their defaults are
-	// in force.
+	// Defaulted lists the platform options that the file lacks or leaves empty, so that
+	// their defaults apply.
 	Defaulted []ini.Option `no-flag:"true"`
 
 	file *ini.File
 }
 
-// platformFigures are the settings that a platform tells of itself. A platform that
-// leaves one out keeps no node from starting.
-var platformFigures = []ini.Option{
+// platformOptions are the settings that describe the platform. A node starts with the
+// defaults of those that are missing.
+var platformOptions = []ini.Option{
 	{Section: "node", Key: "power"},
 	{Section: "node", Key: "memory"},
 	{Section: "node", Key: "link"},
@@ -47,7 +47,7 @@
 	{Section: "worker", Key: "remote-factor"},
 }
 
-// NodeSelf is who the node is and where it listens.
+// NodeSelf holds the identity, the listen addresses and the resources of the node.
 type NodeSelf struct {
 	Name   string  `long:"name" ini-name:"name" description:"name of this node"`
 	Hall   string  `long:"hall" ini-name:"hall" description:"data hall in which this node's box stands"`
@@ -57,24 +57,24 @@
 	Power  float64 `long:"power" ini-name:"power" default:"1" description:"what this machine has of a processor's core; strong machines own the shard first"`
 	Memory int     `long:"memory" ini-name:"memory" default:"0" description:"memory of this machine in MiB, which the collector keeps below; 0: not known"`
 	Link   float64 `long:"link" ini-name:"link" default:"0" description:"what this machine's link takes in Mbit/s; a node with a wide one passes configurations on to others of its data hall; 0: not known"`
-	// Descriptors is how many files and connections this process may have open.
+	// Descriptors is the maximum number of open files and connections of this process.
 	Descriptors int    `long:"descriptors" ini-name:"descriptors" default:"0" description:"files and connections that this process may have open; most are kept for workers; 0: not known"`
 	Metrics     string `long:"metrics" ini-name:"metrics" description:"address for metrics; empty: none"`
 }
 
-// NodeStore is where the store of rows is.
+// NodeStore holds the address and the limits of the row store.
 type NodeStore struct {
 	Address string `long:"address" ini-name:"address" description:"address of the store"`
-	// PartitionWrites is what one partition takes, in transactions a second.
+	// PartitionWrites is the write capacity of one partition in transactions per second.
 	PartitionWrites float64 `long:"partition-writes" ini-name:"partition-writes" default:"200" description:"transactions a second that one partition takes; the owner sends half as many at the most"`
 }
 
-// NodeAdvice is where the advice service is.
+// NodeAdvice holds the address of the advice service.
 type NodeAdvice struct {
 	Address string `long:"address" ini-name:"address" description:"address of the advice service; empty: there is none"`
 }
 
-// NodeTimes are the times by which nodes go.
+// NodeTimes holds leases, retention times and timeouts.
 type NodeTimes struct {
 	Lease        time.Duration `long:"lease" ini-name:"lease" default:"3s" description:"for which a worker runs on without word from the owner"`
 	LongestLease time.Duration `long:"longest-lease" ini-name:"longest-lease" default:"6s" description:"longest lease that workers take; a longer lease is cut to it"`
@@ -83,29 +83,29 @@
 	Grace        time.Duration `long:"grace" ini-name:"grace" default:"6s" description:"between the order to stop and the kill"`
 }
 
-// NodeWorker is what the platform tells of its workers.
+// NodeWorker holds the properties of the platform's workers.
 type NodeWorker struct {
 	Stop         time.Duration `long:"stop" ini-name:"stop" default:"400ms" description:"that a worker takes to stop a task, at most"`
 	Restore      time.Duration `long:"restore" ini-name:"restore" default:"250ms" description:"that a task takes to go on from its checkpoint"`
 	RemoteFactor float64       `long:"remote-factor" ini-name:"remote-factor" default:"1.5" description:"how many times as long a task takes away from its data"`
 }
 
-// NodeLog is how the node logs.
+// NodeLog holds the logging options.
 type NodeLog struct {
 	Level string `long:"level" ini-name:"level" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level that is logged"`
 }
 
-// LoadNode reads a node's settings from args and the file that they or the
-// environment name.
+// LoadNode reads the settings of a node from args and the file that args or the environment
+// name.
 func LoadNode(args []string) (*Node, error) {
 	s := &Node{}
 	parser := newNodeParser(s, flags.HelpFlag)
-	file, err := nodeFile(args)
+	file, err := readNodeConfigFile(args)
 	if err != nil {
 		return nil, err
 	}
 	if file != nil {
-		file, s.Defaulted = file.WithoutEmpty(platformFigures)
+		file, s.Defaulted = file.WithoutEmpty(platformOptions)
 		if err := file.Apply(parser); err != nil {
 			return nil, err
 		}
@@ -119,20 +119,22 @@
 
 func newNodeParser(s *Node, options flags.Options) *flags.Parser {
 	parser := flags.NewNamedParser("chutereachd node", options)
-	parser.ShortDescription = "one node of a system on the users' platform"
-	parser.LongDescription = "Runs one node. Every node is alike; one of them owns the shard and schedules. " +
-		"SIGTERM hands over and stops, SIGHUP reads the settings again.\n\n" +
+	parser.ShortDescription = "run one node of a system on the users' platform"
+	parser.LongDescription = "Runs one node. All nodes have the same role; one of them owns the shard and schedules. " +
+		"SIGTERM hands over the shard, if owned, and stops the node. SIGHUP reloads the settings.\n\n" +
 		"Examples:\n  chutereachd node --config node.ini\n  chutereachd node --check --config node.ini"
 	if _, err := parser.AddGroup("daemon", "", s); err != nil {
-		panic(err) // the struct's tags are constant
+		panic(err) // cannot fail: the struct tags are constant
 	}
 	return parser
 }
 
-func nodeFile(args []string) (*ini.File, error) {
+// readNodeConfigFile reads the file that args or the environment name. It returns nil if
+// there is none.
+func readNodeConfigFile(args []string) (*ini.File, error) {
 	var s Node
 	if _, err := newNodeParser(&s, flags.IgnoreUnknown).ParseArgs(args); err != nil {
-		return nil, nil // the full parse tells better what is wrong
+		return nil, nil // the full parse reports the error
 	}
 	if s.Config == "" {
 		return nil, nil
@@ -140,20 +142,22 @@
 	return ini.Read(s.Config)
 }
 
-func (s *Node) fault(section, key, reason string) error {
+// optionError returns an error about an option, with the file and line if the settings
+// were read from a file.
+func (s *Node) optionError(section, key, reason string) error {
 	if s.file == nil {
 		return &Error{Key: section + "." + key, Reason: reason}
 	}
 	return s.file.At(section, key, reason)
 }
 
-// minLease is the shortest lease with which an owner can keep up.
+// minLease is the shortest lease that an owner can renew in time.
 const minLease = time.Second
 
-// check applies the rules between settings.
+// check validates the values of settings.
 func (s *Node) check() error {
 	if s.Self.Name == "" {
-		return s.fault("node", "name", "must not be empty")
+		return s.optionError("node", "name", "must not be empty")
 	}
 	addresses := []struct {
 		section, key, value string
@@ -170,49 +174,49 @@
 		if a.optional && a.value == "" {
 			continue
 		}
-		if reason := addressError(a.value); reason != "" {
-			return s.fault(a.section, a.key, reason)
+		if reason := invalidAddressReason(a.value); reason != "" {
+			return s.optionError(a.section, a.key, reason)
 		}
 	}
 	switch {
 	case s.Self.Power <= 0:
-		return s.fault("node", "power", "must be more than 0")
+		return s.optionError("node", "power", fmt.Sprintf("must be greater than 0, got %v", s.Self.Power))
 	case s.Self.Descriptors < 0:
-		return s.fault("node", "descriptors", "must not be negative")
+		return s.optionError("node", "descriptors", fmt.Sprintf("must not be negative, got %v", s.Self.Descriptors))
 	case s.Self.Link < 0:
-		return s.fault("node", "link", "must not be negative")
+		return s.optionError("node", "link", fmt.Sprintf("must not be negative, got %v", s.Self.Link))
 	case s.Self.Memory < 0:
-		return s.fault("node", "memory", "must not be negative")
+		return s.optionError("node", "memory", fmt.Sprintf("must not be negative, got %v", s.Self.Memory))
 	case s.Store.PartitionWrites <= 0:
-		return s.fault("store", "partition-writes", "must be more than 0")
+		return s.optionError("store", "partition-writes", fmt.Sprintf("must be greater than 0, got %v", s.Store.PartitionWrites))
 	case s.Times.Lease < minLease:
-		return s.fault("times", "lease", fmt.Sprintf("must be at least %v", minLease))
+		return s.optionError("times", "lease", fmt.Sprintf("must be at least %v, got %v", minLease, s.Times.Lease))
 	case s.Times.LongestLease < minLease:
-		return s.fault("times", "longest-lease", fmt.Sprintf("must be at least %v", minLease))
+		return s.optionError("times", "longest-lease", fmt.Sprintf("must be at least %v, got %v", minLease, s.Times.LongestLease))
 	case s.Times.KeepFinal < 0:
-		return s.fault("times", "keep-final", "must not be negative")
+		return s.optionError("times", "keep-final", fmt.Sprintf("must not be negative, got %v", s.Times.KeepFinal))
 	case s.Times.Evacuate < 0:
-		return s.fault("times", "evacuate", "must not be negative")
+		return s.optionError("times", "evacuate", fmt.Sprintf("must not be negative, got %v", s.Times.Evacuate))
 	case s.Times.Grace <= 0:
-		return s.fault("times", "grace", "must be more than 0")
+		return s.optionError("times", "grace", fmt.Sprintf("must be greater than 0, got %v", s.Times.Grace))
 	case s.Worker.Stop < 0:
-		return s.fault("worker", "stop", "must not be negative")
+		return s.optionError("worker", "stop", fmt.Sprintf("must not be negative, got %v", s.Worker.Stop))
 	case s.Worker.Restore < 0:
-		return s.fault("worker", "restore", "must not be negative")
+		return s.optionError("worker", "restore", fmt.Sprintf("must not be negative, got %v", s.Worker.Restore))
 	case s.Worker.RemoteFactor < 1:
-		return s.fault("worker", "remote-factor", "must be at least 1")
+		return s.optionError("worker", "remote-factor", fmt.Sprintf("must be at least 1, got %v", s.Worker.RemoteFactor))
 	}
 	return nil
 }
 
-// LeaseInForce returns the lease, cut to what workers take.
+// LeaseInForce returns the lease limited to the longest one that workers accept.
 func (s *Node) LeaseInForce() time.Duration { return min(s.Times.Lease, s.Times.LongestLease) }
 
-// Level returns the least level that is logged.
+// Level returns the minimum level of log messages.
 func (s *Node) Level() zerolog.Level {
 	level, err := zerolog.ParseLevel(s.Log.Level)
 	if err != nil {
-		return zerolog.InfoLevel // check admits only known levels
+		return zerolog.InfoLevel // unreachable: the flag admits only known levels
 	}
 	return level
 }
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -11,7 +11,7 @@
 	"chutereach/settings"
 )
 
-const goodNode = `[node]
+const validNode = `[node]
 name = edge-1
 hall = north
 front = 10.1.0.13:8161
@@ -26,18 +26,18 @@
 grace = 0.5s
 `
 
-func TestABoundOfEvacuations(t *testing.T) {
-	text := strings.Replace(goodNode, "[times]\n", "[times]\nevacuate = 4s\n", 1)
-	if s, err := settings.LoadNode([]string{"--config", nodeFile(t, text)}); err != nil || s.Times.Evacuate != 4*time.Second {
+func TestLoadNodeEvacuationLimit(t *testing.T) {
+	text := strings.Replace(validNode, "[times]\n", "[times]\nevacuate = 4s\n", 1)
+	if s, err := settings.LoadNode([]string{"--config", writeNodeConfig(t, text)}); err != nil || s.Times.Evacuate != 4*time.Second {
 		t.Errorf("got %+v, %v", s, err)
 	}
-	text = strings.Replace(goodNode, "[times]\n", "[times]\nevacuate = -4s\n", 1)
-	if _, err := settings.LoadNode([]string{"--config", nodeFile(t, text)}); err == nil || !strings.Contains(err.Error(), "evacuate") {
-		t.Errorf("a negative bound: %v", err)
+	text = strings.Replace(validNode, "[times]\n", "[times]\nevacuate = -4s\n", 1)
+	if _, err := settings.LoadNode([]string{"--config", writeNodeConfig(t, text)}); err == nil || !strings.Contains(err.Error(), "evacuate") {
+		t.Errorf("negative limit: got error %v, want one that names evacuate", err)
 	}
 }
 
-func nodeFile(t *testing.T, text string) string {
+func writeNodeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.ini")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -46,8 +46,8 @@
 	return path
 }
 
-func TestNodeSettings(t *testing.T) {
-	s, err := settings.LoadNode([]string{"--config", nodeFile(t, goodNode)})
+func TestLoadNode(t *testing.T) {
+	s, err := settings.LoadNode([]string{"--config", writeNodeConfig(t, validNode)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,11 +55,11 @@
 		t.Errorf("settings: %+v", s)
 	}
 	if shown := s.Print(); !strings.Contains(shown, "front = 10.1.0.13:8161") {
-		t.Errorf("shown: %s", shown)
+		t.Errorf("Print lacks the address of node.front: %s", shown)
 	}
 }
 
-const allFigures = `[node]
+const completeNode = `[node]
 name = edge-1
 front = 10.1.0.13:8161
 ready = 10.1.0.13:8167
@@ -83,7 +83,7 @@
 
 func assertDefaulted(t *testing.T, text string, keys ...string) *settings.Node {
 	t.Helper()
-	s, err := settings.LoadNode([]string{"--config", nodeFile(t, text)})
+	s, err := settings.LoadNode([]string{"--config", writeNodeConfig(t, text)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,69 +92,69 @@
 		got = append(got, option.Key)
 	}
 	if !slices.Equal(got, keys) {
-		t.Errorf("defaults in force for %v, want %v", got, keys)
+		t.Errorf("got defaults for %v, want %v", got, keys)
 	}
 	return s
 }
 
-func TestPlatformFiguresThatAreMissing(t *testing.T) {
-	t.Run("none", func(t *testing.T) {
-		s := assertDefaulted(t, allFigures)
+func TestLoadNodeDefaultsMissingPlatformOptions(t *testing.T) {
+	t.Run("none missing", func(t *testing.T) {
+		s := assertDefaulted(t, completeNode)
 		if s.LeaseInForce() != 3*time.Second || s.Store.PartitionWrites != 150 {
 			t.Errorf("settings: %+v", s)
 		}
 		if want := (settings.NodeWorker{Stop: 900 * time.Millisecond, Restore: 350 * time.Millisecond, RemoteFactor: 3}); s.Worker != want {
-			t.Errorf("of workers: %+v, want %+v", s.Worker, want)
+			t.Errorf("got worker settings %+v, want %+v", s.Worker, want)
 		}
 	})
-	t.Run("those of workers", func(t *testing.T) {
-		without, _, _ := strings.Cut(allFigures, "[worker]")
+	t.Run("worker section missing", func(t *testing.T) {
+		without, _, _ := strings.Cut(completeNode, "[worker]")
 		s := assertDefaulted(t, without, "stop", "restore", "remote-factor")
 		if want := (settings.NodeWorker{Stop: 400 * time.Millisecond, Restore: 250 * time.Millisecond, RemoteFactor: 1.5}); s.Worker != want {
-			t.Errorf("of workers: %+v, want %+v", s.Worker, want)
+			t.Errorf("got worker settings %+v, want %+v", s.Worker, want)
 		}
 	})
-	t.Run("one without a value", func(t *testing.T) {
-		s := assertDefaulted(t, strings.Replace(allFigures, "= 150", "=", 1), "partition-writes")
+	t.Run("empty value", func(t *testing.T) {
+		s := assertDefaulted(t, strings.Replace(completeNode, "= 150", "=", 1), "partition-writes")
 		if s.Store.PartitionWrites != 200 {
-			t.Errorf("%v writes a second", s.Store.PartitionWrites)
+			t.Errorf("got %v writes per second, want 200", s.Store.PartitionWrites)
 		}
 	})
-	t.Run("one that does not stand there", func(t *testing.T) {
-		s := assertDefaulted(t, strings.Replace(allFigures, "longest-lease = 10000ms\n", "\n", 1), "longest-lease")
+	t.Run("key missing", func(t *testing.T) {
+		s := assertDefaulted(t, strings.Replace(completeNode, "longest-lease = 10000ms\n", "\n", 1), "longest-lease")
 		if s.Times.LongestLease != 6*time.Second {
-			t.Errorf("longest lease %v", s.Times.LongestLease)
+			t.Errorf("got longest lease %v, want 6s", s.Times.LongestLease)
 		}
 	})
-	t.Run("a lease that workers do not take is cut", func(t *testing.T) {
-		s := assertDefaulted(t, strings.Replace(allFigures, "10000ms", "2000ms", 1))
+	t.Run("lease limited to longest lease", func(t *testing.T) {
+		s := assertDefaulted(t, strings.Replace(completeNode, "10000ms", "2000ms", 1))
 		if s.LeaseInForce() != 2*time.Second {
-			t.Errorf("lease %v", s.LeaseInForce())
+			t.Errorf("got lease %v, want 2s", s.LeaseInForce())
 		}
 	})
-	t.Run("one that is wrong still names its line", func(t *testing.T) {
-		_, err := settings.LoadNode([]string{"--config", nodeFile(t, strings.Replace(allFigures, "= 150", "= many", 1))})
+	t.Run("invalid value reported with its line", func(t *testing.T) {
+		_, err := settings.LoadNode([]string{"--config", writeNodeConfig(t, strings.Replace(completeNode, "= 150", "= many", 1))})
 		if err == nil || !strings.Contains(err.Error(), ":12: partition-writes") {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want an error at line 12", err)
 		}
 	})
 }
 
-func TestNodeSettingsThatAreWrong(t *testing.T) {
+func TestLoadNodeRejectsInvalidSettings(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
-		{"an unknown key", "hall = north", "hale = north", ":3: hale"},
-		{"a negative memory", "hall = north", "memory = -1", ":3: memory"},
-		{"a store that takes nothing", "address = 10.200.1.7:8169", "address = 10.200.1.7:8169\npartition-writes = 0", ":9: partition-writes"},
-		{"no address", "10.1.0.13:7720", "somewhere", ":6: peer"},
-		{"a host name", "10.200.1.7:8169", "store:8169", ":8: address"},
-		{"a bad time", "6000ms", "soon", ":12: "},
-		{"a short lease", "6000ms", "10ms", ":12: lease"},
+		{"unknown key", "hall = north", "hale = north", ":3: hale"},
+		{"negative memory", "hall = north", "memory = -1", ":3: memory"},
+		{"no partition writes", "address = 10.200.1.7:8169", "address = 10.200.1.7:8169\npartition-writes = 0", ":9: partition-writes"},
+		{"not an address", "10.1.0.13:7720", "somewhere", ":6: peer"},
+		{"host name", "10.200.1.7:8169", "store:8169", ":8: address"},
+		{"bad duration", "6000ms", "soon", ":12: "},
+		{"lease too short", "6000ms", "10ms", ":12: lease"},
 		{"no name", "edge-1", "", ":2: name"},
-		{"no grace", "0.5s", "0s", ":13: grace"},
+		{"no grace period", "0.5s", "0s", ":13: grace"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			path := nodeFile(t, strings.Replace(goodNode, test.from, test.to, 1))
+			path := writeNodeConfig(t, strings.Replace(validNode, test.from, test.to, 1))
 			_, err := settings.LoadNode([]string{"--config", path})
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want one line with %q", err, test.want)
@@ -162,6 +162,6 @@
 		})
 	}
 	if _, err := settings.LoadNode([]string{"--config", filepath.Join(t.TempDir(), "none.ini")}); err == nil {
-		t.Error("a missing file was read")
+		t.Error("no error for a missing file")
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the daemon's settings: from flags, the environment, an
-// INI file and defaults, in this order of precedence.
+// Package settings loads the daemon's settings from flags, the environment, an INI file and
+// defaults, in this order of precedence.
 package settings
 
 import (
@@ -18,7 +18,7 @@
 	"chutereach/ini"
 )
 
-// Settings is everything that the daemon can be told.
+// Settings holds all settings of an entry box.
 type Settings struct {
 	Config string `short:"c" long:"config" env:"CHUTEREACH_CONFIG" no-ini:"true" description:"INI file with settings" value-name:"FILE"`
 	Check  bool   `long:"check" no-ini:"true" description:"check the settings, print those in effect, and exit"`
@@ -33,7 +33,7 @@
 	file *ini.File
 }
 
-// Box is who the daemon is and where it listens.
+// Box holds the identity and the listen addresses of the box.
 type Box struct {
 	Name string `long:"name" ini-name:"name" env:"NAME" default:"box-1" description:"name of this box"`
 	Hall string `long:"hall" ini-name:"hall" env:"HALL" default:"here" description:"data hall of this box"`
@@ -41,7 +41,8 @@
 	Peer string `long:"peer" ini-name:"peer" env:"PEER" default:"127.0.0.1:7490" description:"UDP address for other boxes"`
 }
 
-// Platform is where the platform is.
+// Platform holds the address, the token and the rate limit of the platform, and the fleet
+// of the embedded stand-in.
 type Platform struct {
 	URL   string  `long:"url" ini-name:"url" env:"URL" description:"the platform's address; empty embeds a stand-in, for trying out"`
 	Token string  `long:"token" ini-name:"token" env:"TOKEN" secret:"true" description:"token for the platform"`
@@ -49,19 +50,20 @@
 	Rate  float64 `long:"rate" ini-name:"rate" env:"RATE" default:"200" description:"transactions a second that this box may send to the table"`
 }
 
-// Keys are the files by which boxes know each other.
+// Keys holds the paths of the certificates and the key by which boxes authenticate each
+// other.
 type Keys struct {
 	Authority string `long:"authority" ini-name:"authority" env:"AUTHORITY" description:"certificate of the authority" value-name:"FILE"`
 	Cert      string `long:"cert" ini-name:"cert" env:"CERT" description:"certificate of this box" value-name:"FILE"`
 	Key       string `long:"key" ini-name:"key" env:"KEY" description:"private key of this box" value-name:"FILE"`
 }
 
-// Operator is how operators show who they are.
+// Operator holds the credentials of operators.
 type Operator struct {
 	Token string `long:"token" ini-name:"token" env:"TOKEN" secret:"true" description:"token that operators show"`
 }
 
-// Times are the times by which boxes go.
+// Times holds intervals and timeouts.
 type Times struct {
 	Beat       time.Duration `long:"beat" ini-name:"beat" env:"BEAT" default:"1s" description:"between heartbeats"`
 	Lapse      time.Duration `long:"lapse" ini-name:"lapse" env:"LAPSE" default:"3s" description:"after which a heartbeat has lapsed"`
@@ -70,15 +72,15 @@
 	Cutoff     time.Duration `long:"cutoff" ini-name:"cutoff" env:"CUTOFF" default:"9s" description:"after which a box without word of the configuration is not ready"`
 }
 
-// Log is how the daemon logs.
+// Log holds the logging options.
 type Log struct {
 	Level string `long:"level" ini-name:"level" env:"LEVEL" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level that is logged"`
 	JSON  bool   `long:"json" ini-name:"json" env:"JSON" description:"log as JSON"`
 }
 
-// Error says which setting is wrong.
+// Error reports an invalid setting.
 type Error struct {
-	Where  string // file:line, or where else the setting came from
+	Where  string // source of the setting, such as "environment"; empty if unknown
 	Key    string
 	Reason string
 }
@@ -90,15 +92,15 @@
 	return fmt.Sprintf("%s: %s: %s", e.Where, e.Key, e.Reason)
 }
 
-// HelpError carries the help text that was asked for.
+// HelpError is returned if help was requested. Text is the help text.
 type HelpError struct{ Text string }
 
 func (e *HelpError) Error() string { return e.Text }
 
-// Load reads the settings from args, the environment and the file that either
-// names.
+// Load reads the settings of an entry box from args, the environment and the file that
+// either names.
 func Load(args []string) (*Settings, error) {
-	file, err := configFile(args)
+	file, err := readConfigFile(args)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +110,7 @@
 		if err := file.Apply(p); err != nil {
 			return nil, err
 		}
-		if err := fromEnvironment(p); err != nil {
+		if err := applyEnvironment(p); err != nil {
 			return nil, err
 		}
 	}
@@ -119,23 +121,23 @@
 	return s, s.check()
 }
 
-// parse reads a command line, which must hold nothing but options.
+// parse parses a command line that must consist of options only.
 func parse(p *flags.Parser, args []string) error {
 	rest, err := p.ParseArgs(args)
-	var fe *flags.Error
+	var flagsErr *flags.Error
 	switch {
-	case errors.As(err, &fe) && fe.Type == flags.ErrHelp:
-		return &HelpError{fe.Message}
+	case errors.As(err, &flagsErr) && flagsErr.Type == flags.ErrHelp:
+		return &HelpError{flagsErr.Message}
 	case err != nil:
 		return &Error{Key: "command line", Reason: err.Error()}
 	case len(rest) > 0:
-		return &Error{Key: "command line", Reason: fmt.Sprintf("%q is not understood", rest[0])}
+		return &Error{Key: "command line", Reason: fmt.Sprintf("unexpected argument %q", rest[0])}
 	}
 	return nil
 }
 
-// Fault returns the error that a setting cannot be used, at the file and line
-// that gave it if one did.
+// Fault returns an error about a setting, with the file and line if the settings were read
+// from a file.
 func (s *Settings) Fault(section, key, reason string) error {
 	if s.file == nil {
 		return &Error{Key: section + "." + key, Reason: reason}
@@ -145,22 +147,23 @@
 
 func newParser(s *Settings, o flags.Options) *flags.Parser {
 	p := flags.NewNamedParser("chutereachd", o)
-	p.ShortDescription = "one entry box of a chutereach cell"
-	p.LongDescription = "Runs one entry box. Every box is alike. Without settings it runs alone, " +
-		"with a stand-in of the platform inside, for trying out.\n\n" +
+	p.ShortDescription = "run one entry box of a chutereach cell"
+	p.LongDescription = "Runs one entry box. All boxes have the same role. Without settings it runs " +
+		"as a single box with an embedded stand-in for the platform, for evaluation.\n\n" +
 		"Examples:\n  chutereachd\n  chutereachd --check --config box.ini\n  chutereachd --config box.ini --log.level debug"
 	if _, err := p.AddGroup("daemon", "", s); err != nil {
-		panic(err) // the struct's tags are constant
+		panic(err) // cannot fail: the struct tags are constant
 	}
 	return p
 }
 
-// configFile finds and reads the file that flags or the environment name.
-func configFile(args []string) (*ini.File, error) {
+// readConfigFile reads the file that args or the environment name. It returns nil if there
+// is none.
+func readConfigFile(args []string) (*ini.File, error) {
 	var s Settings
 	p := newParser(&s, flags.IgnoreUnknown)
 	if _, err := p.ParseArgs(args); err != nil {
-		return nil, nil // the full parse tells better what is wrong
+		return nil, nil // the full parse reports the error
 	}
 	if s.Config == "" {
 		return nil, nil
@@ -168,23 +171,24 @@
 	return ini.Read(s.Config)
 }
 
-// fromEnvironment lays the environment over what a file said. Without this
-// go-flags would let the file win.
-func fromEnvironment(p *flags.Parser) error {
-	var failed error
+// applyEnvironment sets options from the environment after a file has been applied.
+// go-flags itself ranks an INI file above the environment.
+func applyEnvironment(p *flags.Parser) error {
+	var firstErr error
 	eachOption(p, func(_ *flags.Group, o *flags.Option) {
 		key := o.EnvKeyWithNamespace()
 		value, given := os.LookupEnv(key)
-		if key == "" || !given || failed != nil {
+		if key == "" || !given || firstErr != nil {
 			return
 		}
 		if err := o.Set(&value); err != nil {
-			failed = &Error{Where: "environment", Key: key, Reason: err.Error()}
+			firstErr = &Error{Where: "environment", Key: key, Reason: err.Error()}
 		}
 	})
-	return failed
+	return firstErr
 }
 
+// eachOption calls f with every option and its group, down to one level of subgroups.
 func eachOption(p *flags.Parser, f func(*flags.Group, *flags.Option)) {
 	for _, top := range p.Groups() {
 		for _, g := range append([]*flags.Group{top}, top.Groups()...) {
@@ -196,67 +200,69 @@
 }
 
 const (
-	minBeat = 50 * time.Millisecond
-	// lapseBeats is how many heartbeats a box may miss at the least.
-	lapseBeats = 2
+	minHeartbeatInterval = 50 * time.Millisecond
+	// minLapseHeartbeats is the minimum of times.lapse as a multiple of times.beat.
+	minLapseHeartbeats = 2
 )
 
-// check applies the rules between settings.
+// check validates the values of settings, single and in combination.
 func (s *Settings) check() error {
-	bad := s.Fault
-	if err := addressError(s.Box.HTTP); err != "" {
-		return bad("box", "http", err)
+	optionError := s.Fault
+	if err := invalidAddressReason(s.Box.HTTP); err != "" {
+		return optionError("box", "http", err)
 	}
-	if err := addressError(s.Box.Peer); err != "" {
-		return bad("box", "peer", err)
+	if err := invalidAddressReason(s.Box.Peer); err != "" {
+		return optionError("box", "peer", err)
 	}
 	if s.Box.Name == "" || strings.ContainsAny(s.Box.Name, "./ ") {
-		return bad("box", "name", "must not be empty, nor hold dots, slashes or spaces")
+		return optionError("box", "name", fmt.Sprintf("must not be empty or contain dots, slashes or spaces, got %q", s.Box.Name))
 	}
 	if u, err := url.Parse(s.Platform.URL); err != nil || s.Platform.URL != "" && (u.Scheme == "" || u.Host == "") {
-		return bad("platform", "url", "must be a URL such as http://10.0.0.1:7400")
+		return optionError("platform", "url", fmt.Sprintf("must be a URL such as http://10.0.0.1:7400, got %q", s.Platform.URL))
 	}
 	if s.Platform.Rate <= 0 {
-		return bad("platform", "rate", "must be more than 0")
+		return optionError("platform", "rate", fmt.Sprintf("must be greater than 0, got %v", s.Platform.Rate))
 	}
-	if s.Times.Beat < minBeat {
-		return bad("times", "beat", fmt.Sprintf("must be at least %v", minBeat))
+	if s.Times.Beat < minHeartbeatInterval {
+		return optionError("times", "beat", fmt.Sprintf("must be at least %v, got %v", minHeartbeatInterval, s.Times.Beat))
 	}
-	if s.Times.Lapse < lapseBeats*s.Times.Beat {
-		return bad("times", "lapse", fmt.Sprintf("must be at least %d heartbeats", lapseBeats))
+	if s.Times.Lapse < minLapseHeartbeats*s.Times.Beat {
+		return optionError("times", "lapse", fmt.Sprintf("must be at least %d times beat (%v), got %v", minLapseHeartbeats, s.Times.Beat, s.Times.Lapse))
 	}
 	if s.Times.ClockError < 0 || s.Times.Drain < 0 || s.Times.Cutoff < s.Times.Lapse {
-		return bad("times", "cutoff", "no time may be negative, and cutoff must be at least lapse")
+		return optionError("times", "cutoff", fmt.Sprintf("clock-error and drain must not be negative, and cutoff must be at least lapse; got clock-error %v, drain %v, cutoff %v, lapse %v",
+			s.Times.ClockError, s.Times.Drain, s.Times.Cutoff, s.Times.Lapse))
 	}
 	if s.Platform.URL != "" && (s.Keys.Authority == "" || s.Keys.Cert == "" || s.Keys.Key == "") {
-		return bad("keys", "authority", "authority, cert and key are needed with a platform; make them with 'chutereach keys'")
+		return optionError("keys", "authority", "authority, cert and key are required if platform.url is set; create them with 'chutereach keys'")
 	}
 	return nil
 }
 
-func addressError(a string) string {
+// invalidAddressReason returns why a is not an IP address with a port, or "" if it is one.
+func invalidAddressReason(a string) string {
 	host, _, err := net.SplitHostPort(a)
 	if err != nil {
 		return fmt.Sprintf("%q is not an address with a port, such as 10.0.0.1:7480", a)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Sprintf("%q is not an IP number", host)
+		return fmt.Sprintf("%q is not an IP address", host)
 	}
 	return ""
 }
 
-// Level returns the least level that is logged.
+// Level returns the minimum level of log messages.
 func (s *Settings) Level() zerolog.Level {
 	level, err := zerolog.ParseLevel(s.Log.Level)
 	if err != nil {
-		return zerolog.InfoLevel // check admits only known levels
+		return zerolog.InfoLevel // unreachable: the flag admits only known levels
 	}
 	return level
 }
 
-const masked = "(set)"
+const maskedSecret = "(set)"
 
-// Print returns the settings in effect as an INI file, secrets masked.
+// Print returns the settings in effect as an INI file, with secrets masked.
 func (s *Settings) Print() string {
 	var b bytes.Buffer
 	shown := *s
@@ -265,7 +271,8 @@
 	return b.String()
 }
 
-// printOption writes one setting, after its section's name if it is the first.
+// printOption writes an option, preceded by the section header if it is the first of its
+// group. Options without an INI name are skipped.
 func printOption(b *bytes.Buffer, g *flags.Group, o *flags.Option) {
 	key := o.Field().Tag.Get("ini-name")
 	if key == "" {
@@ -276,7 +283,7 @@
 	}
 	value := fmt.Sprint(o.Value())
 	if o.Field().Tag.Get("secret") != "" && value != "" {
-		value = masked
+		value = maskedSecret
 	}
 	fmt.Fprintf(b, "%s = %s\n", key, value)
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func file(t *testing.T, text string) string {
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "box.ini")
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -17,11 +17,11 @@
 	return name
 }
 
-func TestPrecedence(t *testing.T) {
+func TestLoadPrecedence(t *testing.T) {
 	const text = "[box]\nname = from-file\nhall = from-file\n[times]\nbeat = 2s\nlapse = 10s\ncutoff = 20s\n"
 	t.Setenv("CHUTEREACH_BOX_NAME", "from-environment")
 	t.Setenv("CHUTEREACH_TIMES_BEAT", "3s")
-	s, err := Load([]string{"--config", file(t, text), "--times.beat", "4s"})
+	s, err := Load([]string{"--config", writeConfig(t, text), "--times.beat", "4s"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,22 +37,22 @@
 	}
 }
 
-func TestWrongSettingsAreOneLine(t *testing.T) {
+func TestLoadReportsInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown key", "[box]\nnme = x\n", "box.ini:2: nme: unknown key nme"},
 		{"unknown section", "[bx]\nname = x\n", "box.ini:1: section [bx] is unknown"},
-		{"bad unit", "[times]\nbeat = 1\n", "box.ini:2: beat: time: missing unit"},
-		{"key twice", "[box]\nname = a\nname = b\n", "box.ini:3: name: is given twice"},
+		{"missing unit", "[times]\nbeat = 1\n", "box.ini:2: beat: time: missing unit"},
+		{"duplicate key", "[box]\nname = a\nname = b\n", "box.ini:3: name: is given twice"},
 		{"not an address", "[box]\nhttp = here\n", "box.ini:2: http: \"here\" is not an address"},
-		{"not an IP number", "[box]\nhttp = localhost:1\n", "box.ini:2: http: \"localhost\" is not an IP number"},
+		{"not an IP address", "[box]\nhttp = localhost:1\n", "box.ini:2: http: \"localhost\" is not an IP address"},
 		{"bad choice", "[log]\nlevel = loud\n", "box.ini:2: level: Invalid value"},
-		{"rule between settings", "[times]\nbeat = 2s\nlapse = 3s\n", "box.ini:3: lapse: must be at least 2 heartbeats"},
-		{"platform without keys", "[platform]\nurl = http://10.0.0.1:1\n", "authority, cert and key are needed"},
+		{"rule between settings", "[times]\nbeat = 2s\nlapse = 3s\n", "box.ini:3: lapse: must be at least 2 times beat (2s), got 3s"},
+		{"platform without keys", "[platform]\nurl = http://10.0.0.1:1\n", "authority, cert and key are required"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Load([]string{"--config", file(t, c.text)})
+			_, err := Load([]string{"--config", writeConfig(t, c.text)})
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want %s", err, c.want)
+				t.Errorf("got %v, want one line with %q", err, c.want)
 			}
 		})
 	}
