--- a/rowstore/follow.go
+++ b/rowstore/follow.go
@@ -45,7 +45,7 @@
 	// Progressed is called whenever part of a response arrives.
 	Progressed func()
 	// Received is called with the size and duration of each complete response.
-	Received func(table string, answer transfer.Received)
+	Received func(table string, response transfer.Received)
 	// Current is called after each response that leaves the rows up to date, with their
 	// version. The rows reflect the state of the store at asOf or later.
 	Current func(version uint64, asOf clock.Instant)
@@ -56,34 +56,34 @@
 }
 
 // pollWait returns the longest time that the next Watch call may wait for changes.
-func (r Reach) pollWait() time.Duration {
-	if r.Wait == nil {
+func (o Reach) pollWait() time.Duration {
+	if o.Wait == nil {
 		return maxPollWait
 	}
-	if wait := r.Wait(); wait > 0 {
+	if wait := o.Wait(); wait > 0 {
 		return min(wait, maxPollWait)
 	}
 	return maxPollWait
 }
 
-func (r Reach) notifySynced(version uint64, asOf clock.Instant) {
-	if r.Current != nil {
-		r.Current(version, asOf)
+func (o Reach) notifySynced(version uint64, asOf clock.Instant) {
+	if o.Current != nil {
+		o.Current(version, asOf)
 	}
 }
 
-func (r Reach) notifyFailed(err *FollowError) {
-	if r.Failed != nil {
-		r.Failed(err)
+func (o Reach) notifyFailed(err *FollowError) {
+	if o.Failed != nil {
+		o.Failed(err)
 	}
 }
 
-func (r Reach) notifyResponse(table string, answer transfer.Received) {
-	if r.Answered != nil {
-		r.Answered()
+func (o Reach) notifyResponse(table string, response transfer.Received) {
+	if o.Answered != nil {
+		o.Answered()
 	}
-	if r.Received != nil {
-		r.Received(table, answer)
+	if o.Received != nil {
+		o.Received(table, response)
 	}
 }
 
@@ -113,20 +113,20 @@
 // Follow keeps a copy of one partition of a table in memory until ctx is done. It calls
 // changed with all rows after the first read and after each response with changes. Later
 // updates modify the same map, so changed must not retain it. Failed calls are retried.
-func Follow(ctx context.Context, store Store, table, partition string, changed func(map[string]Row), reach Reach) {
+func Follow(ctx context.Context, store Store, table, partition string, changed func(map[string]Row), options Reach) {
 	f := follower{
-		store: store, table: table, partition: partition, pollWait: reach.pollWait(), readStallTimeout: minReadStallTimeout, onProgress: reach.Progressed,
+		store: store, table: table, partition: partition, pollWait: options.pollWait(), readStallTimeout: minReadStallTimeout, onProgress: options.Progressed,
 	}
 	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
-		f.maxPollWait = reach.pollWait()
+		f.maxPollWait = options.pollWait()
 		start, asOf, request := time.Now(), clock.Now(), f.nextRequest()
 		updated, received, err := f.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			reach.notifyFailed(&FollowError{table, request, time.Since(start), err})
+			options.notifyFailed(&FollowError{table, request, time.Since(start), err})
 			wait.For(ctx, max(minRetryDelay, retryDelay-time.Since(start)))
 			retryDelay = min(maxRetryDelay, 2*retryDelay)
 			continue
@@ -136,9 +136,9 @@
 			changed(f.rows)
 		}
 		if f.rows != nil {
-			reach.notifySynced(f.version, asOf)
+			options.notifySynced(f.version, asOf)
 		}
-		reach.notifyResponse(table, received)
+		options.notifyResponse(table, received)
 		if updated {
 			wait.For(ctx, minUpdateInterval-time.Since(start))
 		}
@@ -207,13 +207,13 @@
 }
 
 // adjustPollWait sets the wait of the next Watch call from the outcome of the last one.
-// Only a call without changes shows the latency of the store: one with changes returns
-// before its wait has passed.
-func (f *follower) adjustPollWait(took time.Duration, rows int, err error) {
+// Only a call without changes shows the latency of the store: it takes the requested wait
+// plus the latency.
+func (f *follower) adjustPollWait(took time.Duration, changes int, err error) {
 	switch {
 	case err != nil:
 		f.pollWait = min(reducedPollWait, f.maxPollWait)
-	case rows == 0 && took-f.pollWait < slowResponse:
+	case changes == 0 && took-f.pollWait < slowResponse:
 		f.pollWait = f.maxPollWait
 	}
 }
--- a/rowstore/follow_test.go
+++ b/rowstore/follow_test.go
@@ -171,10 +171,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var v tableView
 		var failures []error
-		reach := rowstore.Reach{Failed: func(err *rowstore.FollowError) { failures = append(failures, err) }}
+		options := rowstore.Reach{Failed: func(err *rowstore.FollowError) { failures = append(failures, err) }}
 		done := make(chan struct{})
 		go func() {
-			rowstore.Follow(ctx, oversizedFeed{store.Caller()}, table, "", v.update, reach)
+			rowstore.Follow(ctx, oversizedFeed{store.Caller()}, table, "", v.update, options)
 			close(done)
 		}()
 		time.Sleep(time.Second)
--- a/rowstore/memory/memory.go
+++ b/rowstore/memory/memory.go
@@ -108,8 +108,8 @@
 	s.history = append(s.history, row)
 }
 
-// RowsWritten returns the number of changes to rows of a table since the last
-// ForgetHistory.
+// RowsWritten returns the number of changes to rows of a table since the history was last
+// discarded.
 func (s *Store) RowsWritten(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
