--- a/leadership/commit.go
+++ b/leadership/commit.go
@@ -12,62 +12,56 @@
 )
 
 const (
-	// leastPatience and mostPatience bound how long a transaction may go without an
-	// answer before the store is asked what became of it; in between that is
-	// patienceRatio times what answers take of late. Only calls that were answered count:
-	// a transaction that was lost twice says nothing of how long an answer takes.
-	leastPatience = 60 * time.Millisecond
-	mostPatience  = 1200 * time.Millisecond
-	patienceRatio = 3
-	// lookAgain is the time between two looks at a store that does not answer them, so
-	// that its return is soon noticed.
-	lookAgain = 400 * time.Millisecond
-	// slowRatio is how many times as long as a look takes a transaction may take at
-	// the same store: it waits for its turn besides.
-	slowRatio = 3
-	// maxSendings and maxLooks bound the calls for one transaction under way at once. Where
-	// two of five are lost, one transaction in a thousand needs eight sendings, and one in
-	// thirty four.
-	maxSendings = 8
-	maxLooks    = 8
-	// largeBytes is more than a connection takes in at once, and largeQuiet for how long, at
-	// the most, nothing may have been sent of a transaction of that size for it to count as
-	// lost: a crowded link holds packets up for half a second. Less is enough where such
-	// transactions are answered sooner.
-	largeBytes = 64 << 10
-	largeQuiet = 500 * time.Millisecond
-	// callQuiet is for how long nothing may move of a call.
-	callQuiet = 3 * time.Second
-	// outageFrom is how long the store must have answered nothing for that to count as
-	// an outage, in which what others keep alive there may have lapsed.
-	outageFrom = time.Second
-	// retryPause follows a refusal, and takeRest is the longest that follows one of a takeover.
-	retryPause = 25 * time.Millisecond
-	takeRest   = 400 * time.Millisecond
+	// minAnswerTimeout and maxAnswerTimeout bound how long a transaction may go unanswered before
+	// the owner's row is read to learn its outcome. In between, the timeout tracks
+	// answerTimeoutFactor times the latency of recent answered transactions.
+	minAnswerTimeout    = 60 * time.Millisecond
+	maxAnswerTimeout    = 1200 * time.Millisecond
+	answerTimeoutFactor = 3
+	// pollInterval is the time between reads of the owner's row while a transaction is unanswered.
+	pollInterval = 400 * time.Millisecond
+	// lostFactor is how many times the latency of a read a transaction may take before it is
+	// presumed lost. Transactions also queue in the store.
+	lostFactor = 3
+	// maxSends and maxReads bound the concurrent calls for one transaction.
+	maxSends = 8
+	maxReads = 8
+	// largeTransactionBytes is the size from which a transaction counts as large: it exceeds what
+	// a connection buffers. maxLargeStall bounds how long sending a large transaction may make no
+	// progress before it is presumed lost.
+	largeTransactionBytes = 64 << 10
+	maxLargeStall         = 500 * time.Millisecond
+	// callStallLimit is how long a Commit call may make no progress, and the timeout of a read.
+	callStallLimit = 3 * time.Second
+	// minOutage is how long the store must not have answered for it to count as an outage, during
+	// which registrations kept alive in the store may have expired.
+	minOutage = time.Second
+	// minRetryDelay and maxRetryDelay bound the delay before a refused transaction is sent again.
+	minRetryDelay = 25 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
-// Commit applies puts and deletes as the shard's owner. It tries until the outcome is
-// certain: nil, a DeposedError, or the error of ctx.
+// Commit applies puts and deletes as the shard's owner. It retries until the outcome is known and
+// returns nil, a DeposedError, or the error of ctx.
 //
-// A transaction without an answer may have been applied, may wait for its turn at a
-// slow store, or may never have arrived. The owner's row tells which, and reading it
-// holds up no transaction, while a second copy would take a turn of its own. So the
-// row is read first, and the transaction sent again only if the row is as before and
-// the store answers quickly enough for the first copy to have been lost. A copy that is
-// still being sent is not lost: a large one takes long on a narrow link, and longer beside
-// a second one. One copy at most applies.
+// A transaction without an answer may have been applied, may be queued in a slow store, or may be
+// lost. Commit reads the owner's row to find out, because a read does not queue behind
+// transactions as a second copy would. It sends the transaction again only if the row is unchanged
+// and enough time has passed, compared with the latency of the read, for the last copy to be lost.
+// A copy that is still being transmitted is not lost. The condition on the row's version ensures
+// that at most one copy is applied.
 func (r *Term) Commit(ctx context.Context, puts []rowstore.Put, deletes []rowstore.Key) error {
 	next := r.row
 	next.Sequence++
 	c := &commit{
-		term: r, next: next, begun: clock.Now(), large: isLarge(puts), results: make(chan result, maxSendings+maxLooks),
+		term: r, nextRow: next, startedAt: clock.Now(), large: isLarge(puts), results: make(chan result, maxSends+maxReads),
 		transaction: rowstore.Transaction{
-			Conditions: []rowstore.Condition{{Key: keyOf(r.shard), Version: r.version}},
-			Puts:       append([]rowstore.Put{{Key: keyOf(r.shard), Value: codec.MustMarshal(next)}}, puts...),
+			Conditions: []rowstore.Condition{{Key: ownerKey(r.shard), Version: r.version}},
+			Puts:       append([]rowstore.Put{{Key: ownerKey(r.shard), Value: codec.MustMarshal(next)}}, puts...),
 			Deletes:    deletes,
 		},
 	}
-	version, err := c.untilCertain(ctx)
+	version, err := c.awaitOutcome(ctx)
 	if err != nil {
 		return err
 	}
@@ -76,202 +70,205 @@
 	return nil
 }
 
-// commit is one transaction on its way.
+// commit is one transaction in progress.
 type commit struct {
 	term        *Term
 	transaction rowstore.Transaction
-	next        Row
-	begun       clock.Instant
+	nextRow     Row
+	startedAt   clock.Instant
 	lastSent    clock.Atomic // when a part of it was last sent
 	large       bool
 	results     chan result
-	sendings    int           // under way
-	looks       int           // under way
-	rest        time.Duration // after the last refusal
+	sends       int           // in progress
+	reads       int           // in progress
+	retryDelay  time.Duration // before the last refused transaction is sent again
 }
 
-// result is what came of one call.
+// result is the outcome of one call.
 type result struct {
-	look    bool
-	version uint64 // that the transaction has written; 0 of a look: not applied so far
+	isRead  bool
+	version uint64 // of the owner's row as written by the transaction; 0: a read found it not applied
 	err     error
 	took    time.Duration
 }
 
-func (c *commit) untilCertain(ctx context.Context) (uint64, error) {
+// awaitOutcome sends the transaction, and sends it again as needed, until its outcome is known. It
+// returns the version of the owner's row that the transaction wrote.
+func (c *commit) awaitOutcome(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	again := time.NewTimer(c.term.patience)
-	defer again.Stop()
+	timer := time.NewTimer(c.term.answerTimeout)
+	defer timer.Stop()
 	c.send(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-again.C:
-			c.term.noAnswer(c.begun)
-			if c.sendings == 0 {
+		case <-timer.C:
+			c.term.recordNoAnswer(c.startedAt)
+			if c.sends == 0 {
 				c.send(ctx)
-				again.Reset(c.term.patience)
+				timer.Reset(c.term.answerTimeout)
 				continue
 			}
-			c.look(ctx)
-			again.Reset(lookAgain)
+			c.readOwner(ctx)
+			timer.Reset(pollInterval)
 		case got := <-c.results:
-			version, err, certain := c.take(got)
+			version, err, certain := c.handleResult(got)
 			switch {
 			case certain:
 				return version, err
-			case got.err != nil && c.sendings+c.looks == 0:
-				again.Reset(c.pauseRefused()) // no call waits for the store's return
-			case got.err == nil && c.seemsLost(got.took):
+			case got.err != nil && c.sends+c.reads == 0:
+				timer.Reset(c.nextRetryDelay()) // no call is in progress that would notice the store's recovery
+			case got.err == nil && c.presumedLost(got.took):
 				c.send(ctx)
-				again.Reset(c.term.patience)
+				timer.Reset(c.term.answerTimeout)
 			}
 		}
 	}
 }
 
-// pauseRefused returns what passes after a refusal until the next sending. An owner sends often, for
-// all work waits for the store's return. Of the many nodes that may try to take a shard at once each
-// sends less and less often.
-func (c *commit) pauseRefused() time.Duration {
-	c.rest = max(retryPause, 2*c.rest)
+// nextRetryDelay returns the delay before a refused transaction is sent again. It is constant for
+// an owner. While acquiring a shard it backs off exponentially, because many nodes may try at
+// once.
+func (c *commit) nextRetryDelay() time.Duration {
+	c.retryDelay = max(minRetryDelay, 2*c.retryDelay)
 	if c.term.token != 0 {
-		c.rest = retryPause
+		c.retryDelay = minRetryDelay
 	}
-	return min(takeRest, c.rest)
+	return min(maxRetryDelay, c.retryDelay)
 }
 
-// take takes in the result of one call, and reports whether the outcome is certain.
-func (c *commit) take(got result) (version uint64, err error, certain bool) {
-	if got.look {
-		c.looks--
+// handleResult processes the result of one call and reports whether the outcome of the transaction
+// is known.
+func (c *commit) handleResult(got result) (version uint64, err error, certain bool) {
+	if got.isRead {
+		c.reads--
 	} else {
-		c.sendings--
+		c.sends--
 	}
 	var deposed *DeposedError
 	switch {
 	case errors.As(got.err, &deposed):
 		return 0, got.err, true
 	case got.err != nil:
-		c.term.noAnswer(c.begun)
+		c.term.recordNoAnswer(c.startedAt)
 		return 0, nil, false
 	}
-	c.term.answered()
+	c.term.recordAnswer()
 	if got.version == 0 {
 		return 0, nil, false
 	}
-	if !got.look {
-		c.term.answeredIn(got.took, c.large)
+	if !got.isRead {
+		c.term.recordLatency(got.took, c.large)
 	}
-	// Others count from when they first see its row: what this owner counts from must not be
-	// later, so a look that finds the row unchanged, or applied long ago, counts for nothing.
-	c.term.sent.Store(c.begun)
+	// A successor counts leases from when it first sees the row that this transaction wrote. The
+	// owner must not count from a later time, so it uses the time of the first send.
+	c.term.lastCommitSent.Store(c.startedAt)
 	return got.version, nil, true
 }
 
-// seemsLost reports, after a look at the store that took so long and showed that the
-// transaction is not applied, whether the last copy has been lost.
-func (c *commit) seemsLost(look time.Duration) bool {
-	quiet := leastPatience
+// presumedLost reports whether the last copy of the transaction is presumed lost, after a read
+// that took readTime found it not applied.
+func (c *commit) presumedLost(readTime time.Duration) bool {
+	stallLimit := minAnswerTimeout
 	if c.large {
-		quiet = c.term.largeQuiet
+		stallLimit = c.term.largeStall
 	}
-	return c.lastSent.Load().Since() > max(quiet, slowRatio*look)
+	return c.lastSent.Load().Since() > max(stallLimit, lostFactor*readTime)
 }
 
-// isLarge reports whether a transaction that writes puts is more than a connection takes in
-// at once.
+// isLarge reports whether a transaction that writes puts is a large one.
 func isLarge(puts []rowstore.Put) bool {
 	size := 0
 	for _, put := range puts {
 		size += len(put.Value)
 	}
-	return size >= largeBytes
+	return size >= largeTransactionBytes
 }
 
-// noteSent notes that a part of the transaction has been sent just now.
-func (c *commit) noteSent() { c.lastSent.Store(clock.Now()) }
+// markSent records that a part of the transaction has just been sent.
+func (c *commit) markSent() { c.lastSent.Store(clock.Now()) }
 
-// send sends the transaction, without waiting for what comes of it.
+// send sends the transaction in a new goroutine, which delivers the result to c.results.
 func (c *commit) send(ctx context.Context) {
-	if c.sendings == maxSendings {
+	if c.sends == maxSends {
 		return
 	}
-	c.sendings++
-	c.noteSent()
+	c.sends++
+	c.markSent()
 	go func() {
 		sent := time.Now()
-		callCtx, cancel := transfer.WithStallLimit(ctx, callQuiet, c.noteSent)
+		callCtx, cancel := transfer.WithStallLimit(ctx, callStallLimit, c.markSent)
 		defer cancel()
 		version, err := c.term.store.Commit(callCtx, c.transaction)
 		var conflict *rowstore.ConflictError
 		if errors.As(err, &conflict) {
-			version, err = c.settleConflict(conflict)
+			version, err = c.resolveConflict(conflict)
 		}
 		c.results <- result{version: version, err: err, took: time.Since(sent)}
 	}()
 }
 
-// look reads the owner's row, without waiting for what comes of it.
-func (c *commit) look(ctx context.Context) {
-	if c.looks == maxLooks {
+// readOwner reads the owner's row in a new goroutine, which delivers the result to c.results.
+func (c *commit) readOwner(ctx context.Context) {
+	if c.reads == maxReads {
 		return
 	}
-	c.looks++
+	c.reads++
 	go func() {
 		sent := time.Now()
-		callCtx, cancel := context.WithTimeout(ctx, callQuiet)
+		callCtx, cancel := context.WithTimeout(ctx, callStallLimit)
 		defer cancel()
 		seen, err := Look(callCtx, c.term.store, c.term.shard)
-		got := result{look: true, err: err, took: time.Since(sent)}
+		got := result{isRead: true, err: err, took: time.Since(sent)}
 		if err == nil && seen.Version != c.transaction.Conditions[0].Version {
-			got.version, got.err = c.settle(seen)
+			got.version, got.err = c.resolve(seen)
 		}
 		c.results <- got
 	}()
 }
 
-// settleConflict reads from the row of a conflict what became of the transaction.
-func (c *commit) settleConflict(conflict *rowstore.ConflictError) (uint64, error) {
+// resolveConflict determines the outcome of the transaction from the rows of a conflict.
+func (c *commit) resolveConflict(conflict *rowstore.ConflictError) (uint64, error) {
 	for _, row := range conflict.Rows {
-		if row.Key != keyOf(c.term.shard) {
+		if row.Key != ownerKey(c.term.shard) {
 			continue
 		}
-		seen, err := sightingOf(row)
+		seen, err := decodeRow(row)
 		if err != nil {
 			return 0, err
 		}
-		return c.settle(seen)
+		return c.resolve(seen)
 	}
 	return 0, &DeposedError{}
 }
 
-// settle tells from the owner's row, which has changed, whether the transaction has
-// been applied.
-func (c *commit) settle(seen Sighting) (uint64, error) {
-	if seen.Row == c.next {
+// resolve determines the outcome of the transaction from the owner's row, whose version has
+// changed.
+func (c *commit) resolve(seen Sighting) (uint64, error) {
+	if seen.Row == c.nextRow {
 		return seen.Version, nil
 	}
 	return 0, &DeposedError{seen}
 }
 
-// noAnswer notes that the store has not answered a call in time.
-func (r *Term) noAnswer(since clock.Instant) { r.failed.StoreFirst(since) }
+// recordNoAnswer records that the store has failed to answer since the given time, unless an
+// earlier failure is recorded.
+func (r *Term) recordNoAnswer(since clock.Instant) { r.failingSince.StoreFirst(since) }
 
-// answered notes that the store has answered.
-func (r *Term) answered() {
-	if since := r.FailingSince(); !since.IsZero() && time.Since(since) > outageFrom {
-		r.restored.Store(clock.Now())
+// recordAnswer records that the store has answered, and the end of an outage if there was one.
+func (r *Term) recordAnswer() {
+	if since := r.FailingSince(); !since.IsZero() && time.Since(since) > minOutage {
+		r.restoredAt.Store(clock.Now())
 	}
-	r.failed.Store(clock.Instant{})
+	r.failingSince.Store(clock.Instant{})
 }
 
-// answeredIn notes how long the store took to answer a transaction that it has applied.
-func (r *Term) answeredIn(took time.Duration, large bool) {
-	r.patience = min(mostPatience, max(leastPatience, (r.patience+patienceRatio*took)/2))
+// recordLatency adjusts the timeouts to the latency of an applied transaction.
+func (r *Term) recordLatency(took time.Duration, large bool) {
+	r.answerTimeout = min(maxAnswerTimeout, max(minAnswerTimeout, (r.answerTimeout+answerTimeoutFactor*took)/2))
 	if large {
-		r.largeQuiet = min(largeQuiet, max(leastPatience, patienceRatio*took))
+		r.largeStall = min(maxLargeStall, max(minAnswerTimeout, answerTimeoutFactor*took))
 	}
 }
--- a/leadership/export_test.go
+++ b/leadership/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// LastSuccess returns when the last transaction that was applied was first sent.
-func (r *Term) LastSuccess() time.Time { return r.sent.Load().Time() }
+// LastSuccess returns when the last applied transaction was first sent.
+func (r *Term) LastSuccess() time.Time { return r.lastCommitSent.Load().Time() }
--- a/leadership/leadership.go
+++ b/leadership/leadership.go
@@ -1,12 +1,11 @@
-// Package leadership knows who owns a shard. The owner is named by one row of
-// the row store; whoever replaces that row under a condition on its version owns
-// the shard from then on.
+// Package leadership implements leader election for shards. One row of the row store names the
+// owner of a shard. A node becomes the owner by replacing that row under a condition on its
+// version.
 //
-// Every transaction of an owner requires the row at the version that the owner
-// last wrote and writes it anew. So a former owner's transactions fail, and so
-// does a copy of an owner's own transaction that the store carries out late. The
-// version of the row at the moment of taking is the fencing token of the owner's term:
-// the time for which it owns the shard.
+// Every transaction of an owner is conditional on the version of the row that the owner last
+// wrote, and rewrites the row. The transactions of a former owner therefore fail, and so do late
+// copies of the owner's own transactions. The row version written by the acquisition is the
+// fencing token of the owner's term, the period during which it owns the shard.
 package leadership
 
 import (
@@ -27,38 +26,38 @@
 	rowName = "owner"
 )
 
-// Row is what the store holds of a shard's owner.
+// Row is the stored record of a shard's owner.
 type Row struct {
 	Node     string `cbor:"1,keyasint"`
-	Address  string `cbor:"2,keyasint"` // for the other nodes
-	Term     string `cbor:"3,keyasint"` // names one time of ownership
-	Sequence uint64 `cbor:"4,keyasint"` // counts the owner's transactions
+	Address  string `cbor:"2,keyasint"` // for calls from other nodes
+	Term     string `cbor:"3,keyasint"` // unique ID of the term
+	Sequence uint64 `cbor:"4,keyasint"` // number of the owner's transactions in this term
 }
 
-// Sighting is a row as it was read. Version 0 means that nobody has owned the
-// shard yet.
+// Sighting is an owner's row as read from the store. Version 0 means that the shard has never had
+// an owner.
 type Sighting struct {
 	Row
 	Version uint64
-	// Since is when the row was first seen at this version, by the observer's clock:
-	// the owner's last transaction was sent before.
+	// Since is when the row was first seen at this version, by the reader's clock. The owner sent
+	// its last applied transaction before then.
 	Since time.Time
 }
 
-func keyOf(shard string) rowstore.Key {
+func ownerKey(shard string) rowstore.Key {
 	return rowstore.Key{Table: table, Partition: shard, Name: rowName}
 }
 
-// Look reads who owns a shard.
+// Look reads the owner's row of a shard.
 func Look(ctx context.Context, store rowstore.Store, shard string) (Sighting, error) {
-	row, err := rowstore.ReadOne(ctx, store, keyOf(shard))
+	row, err := rowstore.ReadOne(ctx, store, ownerKey(shard))
 	if err != nil {
 		return Sighting{}, err
 	}
-	return sightingOf(row)
+	return decodeRow(row)
 }
 
-func sightingOf(row rowstore.Row) (Sighting, error) {
+func decodeRow(row rowstore.Row) (Sighting, error) {
 	seen := Sighting{Version: row.Version, Since: time.Now()}
 	if row.Version == 0 {
 		return seen, nil
@@ -69,50 +68,50 @@
 	return seen, nil
 }
 
-// RowError says that an owner's row cannot be read.
+// RowError reports that an owner's row cannot be decoded.
 type RowError struct{ Cause error }
 
-func (e *RowError) Error() string { return fmt.Sprintf("the owner's row: %v", e.Cause) }
+func (e *RowError) Error() string { return fmt.Sprintf("decoding the owner's row: %v", e.Cause) }
 
 func (e *RowError) Unwrap() error { return e.Cause }
 
-// DeposedError says that another node owns the shard now.
+// DeposedError reports that another node now owns the shard.
 type DeposedError struct{ By Sighting }
 
 func (e *DeposedError) Error() string {
-	return fmt.Sprintf("node %s owns the shard since version %d", e.By.Node, e.By.Version)
+	return fmt.Sprintf("shard is owned by node %s as of row version %d", e.By.Node, e.By.Version)
 }
 
-// Term is one node's ownership of a shard. Commit is for one goroutine at a
-// time; the other methods are for any.
+// Term is one node's ownership of a shard. Commit must not be called concurrently; the other
+// methods are safe for concurrent use.
 type Term struct {
 	store   rowstore.Store
 	shard   string
 	token   uint64
 	row     Row
 	version uint64
-	// confirmed is version, for any goroutine.
-	confirmed atomic.Uint64
-	former    time.Time // when the former owner had sent its last transaction, at the latest
-	// patience is how long a transaction may go without an answer before the store is
-	// asked what became of it.
-	patience time.Duration
-	// largeQuiet is for how long nothing may have been sent of a large transaction for it to
-	// count as lost.
-	largeQuiet time.Duration
-	// sent is when the last transaction that was applied was first sent, and failed since
-	// when the store has answered no call.
-	sent   clock.Atomic
-	failed clock.Atomic
-	// restored is when the store last answered again after an outage.
-	restored clock.Atomic
+	// confirmed is a copy of version for concurrent readers.
+	confirmed        atomic.Uint64
+	formerSentBefore time.Time // upper bound of when the previous owner sent its last applied transaction
+	// answerTimeout is how long a transaction may go unanswered before the owner's row is read to
+	// learn its outcome.
+	answerTimeout time.Duration
+	// largeStall is how long sending a large transaction may make no progress before it is
+	// presumed lost. It is reduced when large transactions are answered sooner.
+	largeStall time.Duration
+	// lastCommitSent is when the last applied transaction was first sent. failingSince is when the
+	// store stopped answering, or zero.
+	lastCommitSent clock.Atomic
+	failingSince   clock.Atomic
+	// restoredAt is when the last outage of the store ended.
+	restoredAt clock.Atomic
 }
 
-// Take makes a node the owner of a shard, provided that the row still is as it
-// was seen. It returns a DeposedError if another node was faster.
+// Take makes a node the owner of a shard, provided that the row has not changed since it was seen.
+// It returns a DeposedError if another node has become the owner.
 func Take(ctx context.Context, store rowstore.Store, shard, node, address string, seen Sighting) (*Term, error) {
 	term := &Term{
-		store: store, shard: shard, version: seen.Version, former: seen.Since, patience: leastPatience, largeQuiet: largeQuiet,
+		store: store, shard: shard, version: seen.Version, formerSentBefore: seen.Since, answerTimeout: minAnswerTimeout, largeStall: maxLargeStall,
 		row: Row{Node: node, Address: address, Term: xid.New().String()},
 	}
 	if err := term.Commit(ctx, nil, nil); err != nil {
@@ -123,25 +122,24 @@
 }
 
 // RestoredAt returns when the last outage of the store ended, or the zero time.
-func (r *Term) RestoredAt() time.Time { return r.restored.Load().Time() }
+func (r *Term) RestoredAt() time.Time { return r.restoredAt.Load().Time() }
 
 // Token returns the fencing token of the term.
 func (r *Term) Token() uint64 { return r.token }
 
-// Confirmed returns the version of the owner's row as of the last transaction that is known to
-// have been applied. It is at least the token, and below that of any successor.
+// Confirmed returns the version of the owner's row written by the last transaction known to be
+// applied. It is at least the token, and less than the token of any successor.
 func (r *Term) Confirmed() uint64 { return r.confirmed.Load() }
 
-// FormerSuccess returns a time before which the former owner had sent the last
-// transaction that succeeded.
-func (r *Term) FormerSuccess() time.Time { return r.former }
+// FormerSuccess returns an upper bound of the time at which the previous owner sent its last
+// applied transaction.
+func (r *Term) FormerSuccess() time.Time { return r.formerSentBefore }
 
-// Unconfirmed returns for how long the store has not confirmed the term: the time since the
-// last transaction that was applied was first sent, with that in which the machine was
-// suspended. A successor may have taken the shard meanwhile, and counts from there when
-// leases have run out.
-func (r *Term) Unconfirmed() time.Duration { return r.sent.Load().Since() }
+// Unconfirmed returns the time since the last applied transaction was first sent, including time
+// during which the machine was suspended. A successor may have acquired the shard in that time,
+// and computes the expiry of leases from the last transaction that it saw.
+func (r *Term) Unconfirmed() time.Duration { return r.lastCommitSent.Load().Since() }
 
-// FailingSince returns since when the store has answered nothing, or the zero time. A
-// store that is slow is not failing.
-func (r *Term) FailingSince() time.Time { return r.failed.Load().Time() }
+// FailingSince returns when the store stopped answering, or the zero time if it answers. A slow
+// store does not count as failing.
+func (r *Term) FailingSince() time.Time { return r.failingSince.Load().Time() }
--- a/leadership/leadership_test.go
+++ b/leadership/leadership_test.go
@@ -39,7 +39,7 @@
 	return string(row.Value)
 }
 
-func TestTokensRise(t *testing.T) {
+func TestTokensIncrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		last := uint64(0)
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestOneOfTwoTakes(t *testing.T) {
+func TestTakesOfSameRowHaveOneWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		seen, err := leadership.Look(t.Context(), store, shard)
@@ -83,14 +83,14 @@
 	})
 }
 
-func TestADeposedOwnerWritesNothing(t *testing.T) {
+func TestDeposedOwnerWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		former := take(t, store.Caller(), "a")
 		take(t, store.Caller(), "b")
 		var deposed *leadership.DeposedError
 		if err := former.Commit(t.Context(), progress("former"), nil); !errors.As(err, &deposed) || deposed.By.Node != "b" {
-			t.Errorf("got %v, want to be deposed by b", err)
+			t.Errorf("got error %v, want DeposedError naming node b", err)
 		}
 		if got := value(store); got != "" {
 			t.Errorf("the former owner wrote %q", got)
@@ -98,8 +98,8 @@
 	})
 }
 
-// A transaction without an answer is settled by the store, never guessed, and
-// its late copy changes nothing.
+// Commit must learn the outcome of an unanswered transaction from the store, and a late copy must
+// not be applied.
 func TestUnansweredTransactions(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -137,10 +137,10 @@
 				}
 				time.Sleep(10 * time.Second)
 				if got := value(store); got != "second" {
-					t.Errorf("a late copy left %q", got)
+					t.Errorf("row holds %q after a late copy, want \"second\"", got)
 				}
 				if err := term.Commit(t.Context(), progress("third"), nil); err != nil {
-					t.Errorf("after the late copy: %v", err)
+					t.Errorf("commit after the late copy: %v", err)
 				}
 			})
 		})
@@ -152,14 +152,14 @@
 		caller := memory.New().Caller()
 		term := take(t, caller, "a")
 		if !term.FailingSince().IsZero() {
-			t.Error("failing at the start")
+			t.Error("store counts as failing after a successful take")
 		}
 		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		begun := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		if err := term.Commit(ctx, nil, nil); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want context.DeadlineExceeded", err)
 		}
 		if got := term.FailingSince(); !got.Equal(begun) {
 			t.Errorf("failing since %v, want %v", got, begun)
@@ -171,8 +171,8 @@
 	})
 }
 
-// A store that was silent for long is found again soon after its return.
-func TestTheReturnOfAStoreIsNoticed(t *testing.T) {
+// A pending transaction must be applied within 500 ms of the end of an outage.
+func TestStoreRecoveryIsNoticed(t *testing.T) {
 	for _, outage := range []time.Duration{time.Second, 4200 * time.Millisecond, 9 * time.Second} {
 		t.Run(outage.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// A slow store is no failing one, and no copy of a transaction waits there for a turn.
-func TestASlowStoreIsAskedOnce(t *testing.T) {
+// A slow store must not count as failing, nor receive a second copy of a transaction.
+func TestSlowStoreReceivesOneCopy(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(slow.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -213,7 +213,7 @@
 					}
 				}
 				if writes != 3 {
-					t.Errorf("%d sendings of 3 transactions", writes)
+					t.Errorf("3 transactions were sent %d times, want 3", writes)
 				}
 				if !term.FailingSince().IsZero() {
 					t.Error("a slow store counts as failing")
@@ -223,9 +223,8 @@
 	}
 }
 
-// A large transaction takes long on a narrow link. It is sent once, and for as long as it
-// goes on: a second copy would make both take twice as long.
-func TestALargeTransactionIsSentOnce(t *testing.T) {
+// A large transaction must not be sent again while it still makes progress on a slow link.
+func TestLargeTransactionIsSentOnce(t *testing.T) {
 	for _, rate := range []int{1_250_000, 250_000, 50_000} {
 		t.Run(fmt.Sprintf("%d bytes a second", rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -253,8 +252,8 @@
 	}
 }
 
-// The answers of the store are lost: the row tells that the transaction was applied.
-func TestALostAnswerIsReadFromTheRow(t *testing.T) {
+// A transaction whose answer is lost must be found applied by reading the owner's row.
+func TestLostAnswerIsReadFromRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		caller := memory.New().Caller()
 		term := take(t, caller, "a")
@@ -264,14 +263,13 @@
 			t.Fatal(err)
 		}
 		if took := time.Since(begun); took > 100*time.Millisecond {
-			t.Errorf("took %v", took)
+			t.Errorf("took %v, want at most 100ms", took)
 		}
 	})
 }
 
-// A successor counts a former owner's leases from when it first saw the row of that
-// owner's last transaction. So the owner must count from no later than that: not from a
-// look that finds the row unchanged, nor from one that finds it written before.
+// The time of the last success must not be later than the time at which others can have seen the
+// row, or leases would outlive a takeover.
 func TestLastSuccessIsNotLaterThanItsRow(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -306,7 +304,7 @@
 					want = begun
 				}
 				if got := term.LastSuccess(); got.After(want) {
-					t.Errorf("last success %v after what others can have seen", got.Sub(want))
+					t.Errorf("last success is %v later than others can have seen the row", got.Sub(want))
 				}
 			})
 		})
--- a/leadership/lost_test.go
+++ b/leadership/lost_test.go
@@ -12,18 +12,17 @@
 	"chutereach/rowstore/memory"
 )
 
-// While two of five writes are carried out one to six seconds late and never answered, as a
-// store does whose answers are lost, transactions still take little longer than the answers
-// that come: what is lost is noticed as soon as it would have been answered.
-func TestTransactionsWhileAnswersAreLost(t *testing.T) {
+// Transactions must stay fast while the store applies 42 % of the writes late without answering
+// them. Lost writes must be detected by the usual latency of answers.
+func TestLatencyWhileWritesAreLost(t *testing.T) {
 	const (
 		lostShare = 0.42
 		writes    = 150
 	)
 	cases := []struct {
 		name  string
-		bytes int // of a transaction
-		// mean and most are what a transaction may take. It takes 5 ms if it is not lost.
+		bytes int // size of a transaction
+		// mean and most bound the latency of transactions.
 		mean, most time.Duration
 	}{
 		{"small ones", 2 << 10, 100 * time.Millisecond, time.Second},
@@ -43,7 +42,7 @@
 					}
 					return time.Since(begun)
 				}
-				for i := range 20 { // the store's usual answers are known
+				for i := range 20 { // let the term learn the store's usual latency
 					write(-1 - i)
 				}
 				random := rand.New(rand.NewPCG(1, 1))
@@ -59,9 +58,9 @@
 					total, longest = total+took, max(longest, took)
 				}
 				if mean := total / writes; mean > test.mean || longest > test.most {
-					t.Errorf("transactions took %v at the mean and %v at the most, want %v and %v", mean, longest, test.mean, test.most)
+					t.Errorf("transactions took %v on average and %v at most, want at most %v and %v", mean, longest, test.mean, test.most)
 				}
-				time.Sleep(10 * time.Second) // late copies change nothing
+				time.Sleep(10 * time.Second) // let late copies arrive, which must change nothing
 				caller.SetFault(nil)
 				if got := fmt.Sprint(writes - 1); valueOf(t, caller) != got {
 					t.Errorf("the row holds %q, want %q", valueOf(t, caller), got)
