--- a/node/messages.go
+++ b/node/messages.go
@@ -26,77 +26,79 @@
 	ordersPath   = "/v1/orders"
 )
 
-// Member is a node as the others know it.
+// Member describes a node to the other nodes.
 type Member struct {
 	Node    string `cbor:"1,keyasint"`
-	Address string `cbor:"2,keyasint"` // for the other nodes
+	Address string `cbor:"2,keyasint"` // for calls from other nodes
 	Hall    string `cbor:"3,keyasint"`
-	// Power is what the machine has of a processor's core.
+	// Power is the share of a CPU core that the machine has.
 	Power float64 `cbor:"4,keyasint,omitempty"`
-	// Link is what the machine's link takes in Mbit/s; 0: not known.
+	// Link is the bandwidth of the machine's network link in Mbit/s; 0: unknown.
 	Link float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// compare orders members that fit, the best owner first.
+// compare orders members by preference as owner, the most preferred first.
 func (m Member) compare(other Member) int {
 	return cmp.Or(cmp.Compare(other.Power, m.Power), cmp.Compare(m.Node, other.Node))
 }
 
-// ownership is who owns the shard, as a node believes. Tokens order beliefs.
+// ownership names the owner of the shard as known to a node. A higher token is more recent.
 type ownership struct {
 	Node    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 	Token   uint64 `cbor:"3,keyasint"`
 }
 
-// beat is what an owner tells each node.
+// beat is an owner's heartbeat to one node.
 type beat struct {
 	Owner        ownership `cbor:"1,keyasint"`
 	TableVersion uint64    `cbor:"2,keyasint"`
-	// TableAge is for how long the owner has had no word that its table is current.
+	// TableAge is the time since the owner's table of routes was last confirmed as current.
 	TableAge time.Duration `cbor:"5,keyasint,omitempty"`
-	Members  []Member      `cbor:"3,keyasint,omitempty"` // empty: as last told
-	// Next is after how long the next one comes; 0: beatEvery.
+	Members  []Member      `cbor:"3,keyasint,omitempty"` // empty: unchanged since the last heartbeat that listed them
+	// Next is the time until the next heartbeat; 0: beatEvery.
 	Next time.Duration `cbor:"4,keyasint,omitempty"`
-	// Relay is the address of the node from which the operator's orders are to be had; empty: from
-	// the store. An owner that does not know yet who relays leaves it to each node to go on as before.
+	// Relay is the address of the relay from which the node gets the operator's orders; empty: it
+	// reads the store. If Undecided is set, the owner has not chosen relays yet and the node keeps
+	// its current one.
 	Relay     string `cbor:"6,keyasint,omitempty"`
 	Undecided bool   `cbor:"8,keyasint,omitempty"`
-	// Relays is whether the node itself is to be a relay.
+	// Relays reports whether the node itself is assigned as a relay.
 	Relays bool `cbor:"7,keyasint,omitempty"`
 }
 
-// beatAnswer is what a node tells the owner.
+// beatAnswer is a node's reply to a heartbeat.
 type beatAnswer struct {
-	Owner        ownership     `cbor:"1,keyasint"` // whom the node follows now
-	StoreOK      bool          `cbor:"2,keyasint"` // it has reached the store of late
+	Owner        ownership     `cbor:"1,keyasint"` // as known to the node
+	StoreOK      bool          `cbor:"2,keyasint"` // it has reached the store recently
 	TableVersion uint64        `cbor:"3,keyasint"`
-	Lag          time.Duration `cbor:"4,keyasint"`           // its mean lateness
-	Members      int           `cbor:"5,keyasint"`           // how many it knows, itself included
-	Relays       bool          `cbor:"6,keyasint,omitempty"` // it is a relay, and its orders are fresh
+	Lag          time.Duration `cbor:"4,keyasint"`           // mean lateness of its timers
+	Members      int           `cbor:"5,keyasint"`           // number of members it knows, including itself
+	Relays       bool          `cbor:"6,keyasint,omitempty"` // it is a relay with fresh orders
 }
 
-// ordersCall asks a relay for the operator's orders that are newer than the caller's.
+// ordersCall requests the operator's orders from a relay. The relay may hold the request until it
+// has newer orders than the caller.
 type ordersCall struct {
-	Table       uint64        `cbor:"1,keyasint"` // version of the caller's table of routes
-	Evacuations uint64        `cbor:"2,keyasint"` // version of its view of evacuated data halls
-	Halls       []string      `cbor:"3,keyasint,omitempty"`
-	Wait        time.Duration `cbor:"4,keyasint"` // for how long the call may be held without news
-}
-
-// ordersAnswer is what a relay has from the store.
-type ordersAnswer struct {
-	TableVersion uint64    `cbor:"1,keyasint"`
-	Table        codec.Raw `cbor:"2,keyasint,omitempty"` // only if it is newer than the caller's
-	Evacuations  uint64    `cbor:"3,keyasint"`
-	Halls        []string  `cbor:"4,keyasint,omitempty"`
-	// Age is for how long, at the most, all of this may have been untrue when it was sent.
+	TableVersion uint64        `cbor:"1,keyasint"` // version of the caller's table of routes
+	Evacuations  uint64        `cbor:"2,keyasint"` // version of the caller's view of evacuated data halls
+	Halls        []string      `cbor:"3,keyasint,omitempty"`
+	Wait         time.Duration `cbor:"4,keyasint"` // maximum time to hold the request if there are no newer orders
+}
+
+// ordersResponse contains the operator's orders as known to a relay.
+type ordersResponse struct {
+	TableVersion      uint64    `cbor:"1,keyasint"`
+	Table             codec.Raw `cbor:"2,keyasint,omitempty"` // only if newer than the caller's
+	EvacuationVersion uint64    `cbor:"3,keyasint"`
+	Halls             []string  `cbor:"4,keyasint,omitempty"`
+	// Age is an upper bound of the age of the orders when the response was sent.
 	Age time.Duration `cbor:"5,keyasint"`
-	// Held is for how long the call was held.
-	Held time.Duration `cbor:"6,keyasint"`
+	// HeldFor is how long the relay held the request.
+	HeldFor time.Duration `cbor:"6,keyasint"`
 }
 
-// pingAnswer tells whom a node follows, and whether it is the owner itself.
+// pingAnswer names the owner known to a node and reports whether the node itself is the owner.
 type pingAnswer struct {
 	Owner ownership `cbor:"1,keyasint"`
 	Owns  bool      `cbor:"2,keyasint"`
@@ -104,25 +106,25 @@
 
 type takeoverCall struct {
 	From  string `cbor:"1,keyasint"`
-	Probe bool   `cbor:"2,keyasint,omitempty"` // only say whether it could be done
-	// Look is how quickly the store must answer the successor; 0: quickLook.
+	Probe bool   `cbor:"2,keyasint,omitempty"` // only check whether a takeover is possible
+	// Look is the time within which the store must answer the successor; 0: quickLook.
 	Look time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-type submitCall struct {
-	ID     string          `cbor:"1,keyasint"`
-	Record workload.Record `cbor:"2,keyasint"`
-	Within time.Duration   `cbor:"3,keyasint"`
-	Caller routing.Caller  `cbor:"4,keyasint"`
+type submitRequest struct {
+	ID      string          `cbor:"1,keyasint"`
+	Record  workload.Record `cbor:"2,keyasint"`
+	Timeout time.Duration   `cbor:"3,keyasint"`
+	Caller  routing.Caller  `cbor:"4,keyasint"`
 }
 
-type jobCall struct {
-	ID     string         `cbor:"1,keyasint"`
-	Within time.Duration  `cbor:"2,keyasint"`
-	Caller routing.Caller `cbor:"3,keyasint"`
+type jobRequest struct {
+	ID      string         `cbor:"1,keyasint"`
+	Timeout time.Duration  `cbor:"2,keyasint"`
+	Caller  routing.Caller `cbor:"3,keyasint"`
 }
 
-type pendingCall struct {
+type pendingRequest struct {
 	Queue  string         `cbor:"1,keyasint"`
 	Caller routing.Caller `cbor:"2,keyasint"`
 }
@@ -140,7 +142,7 @@
 
 type nothing struct{}
 
-// Codes of the failures that nodes tell each other.
+// Error codes in calls between nodes.
 const (
 	codeNotOwner    peer.Code = "not-owner"
 	codeOverloaded  peer.Code = "overloaded"
@@ -152,34 +154,31 @@
 	codeKey         peer.Code = "key"
 )
 
-// NotOwnerError says that the node asked does not own the shard; nothing was
-// done.
+// NotOwnerError reports that the called node does not own the shard. The call was not carried out.
 type NotOwnerError struct{}
 
 func (e *NotOwnerError) Error() string { return "this node does not own the shard" }
 
-// Code is how peers tell the error.
 func (e *NotOwnerError) Code() peer.Code { return codeNotOwner }
 
-// NoTableError says that a node has no table of routes yet.
+// NoTableError reports that a node has no table of routes yet.
 type NoTableError struct{}
 
 func (e *NoTableError) Error() string { return "this node has no configuration yet" }
 
-// Code is how peers tell the error.
 func (e *NoTableError) Code() peer.Code { return codeNoTable }
 
-// coded is a scheduler's error with a code for peers.
-type coded struct {
+// codedError is a scheduler's error with its code for peers.
+type codedError struct {
 	error
 	code peer.Code
 }
 
-func (c coded) Code() peer.Code { return c.code }
+func (c codedError) Code() peer.Code { return c.code }
 
-func (c coded) Unwrap() error { return c.error }
+func (c codedError) Unwrap() error { return c.error }
 
-// encodeError gives a scheduler's error its code.
+// encodeError adds the code for peers to a scheduler's error.
 func encodeError(err error) error {
 	var (
 		overloaded  *scheduler.OverloadedError
@@ -194,27 +193,27 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &overQuota):
-		return coded{err, codeOverQuota}
+		return codedError{err, codeOverQuota}
 	case errors.As(err, &noRoute):
-		return coded{err, codeNoRoute}
+		return codedError{err, codeNoRoute}
 	case errors.As(err, &noKey):
-		return coded{err, codeKey}
+		return codedError{err, codeKey}
 	case errors.As(err, &overloaded):
-		return coded{err, codeOverloaded}
+		return codedError{err, codeOverloaded}
 	case errors.As(err, &notJob):
-		return coded{err, codeUnknownJob}
+		return codedError{err, codeUnknownJob}
 	case errors.As(err, &unconfirmed):
-		return coded{err, codeUnconfirmed}
+		return codedError{err, codeUnconfirmed}
 	case errors.As(err, &deposed):
 		return &NotOwnerError{}
 	}
 	return err
 }
 
-// retryAfter is when a caller that was refused by another node may come again.
+// retryAfter is the delay that callers are told to wait after another node refused a call.
 const retryAfter = time.Second
 
-// decodeError turns a peer's failure back into the scheduler's error.
+// decodeError converts a peer's failure back to the scheduler's error.
 func decodeError(id string, err error) error {
 	var failure *peer.Failure
 	if !errors.As(err, &failure) {
--- a/node/relay.go
+++ b/node/relay.go
@@ -14,44 +14,46 @@
 	"chutereach/transfer"
 )
 
-// The operator's orders, the configuration and the evacuations, reach every node from the store's
-// feed. In a large data hall most nodes have them from a relay instead, a node of the same hall
-// that reads the feed for them: else each change would go from the store to each node, and every
-// node would hold a call of the feed open. The owner, who knows all nodes, names the relays in its
-// heartbeats. A node whose relay does not answer, or whose orders become stale, reads the store itself.
+// The operator's orders are the configuration and the evacuations. Nodes read them from the store's
+// feed. In a large data hall most nodes get them from a relay instead, a node of the same hall that
+// reads the feed on their behalf. This limits the open feed calls at the store and the copies of
+// each change that it sends. The owner assigns relays in its heartbeats. A node whose relay fails or
+// returns stale orders reads the store itself.
 
 const (
-	// relayWait is how long a relay holds a call without news, and relaySlack how much longer the
-	// answer is waited for.
-	relayWait  = time.Second
-	relaySlack = 300 * time.Millisecond
-	// relayFeed is how long a relay's own call of the feed stays open, so that its orders are fresh,
-	// and relaying for how long it counts as a relay after the owner has said so. It is ready once
-	// its orders are younger than relayReady.
-	relayFeed  = 500 * time.Millisecond
-	relaying   = 3 * farSlowest
-	relayReady = 1200 * time.Millisecond
-	// relayTerm is how long a new owner takes to hear which relays are ready.
+	// relayPollWait is how long a relay holds a request without news. A caller allows
+	// relayCallMargin more for the response.
+	relayPollWait   = time.Second
+	relayCallMargin = 300 * time.Millisecond
+	// relayFeedWait is how long a relay's own call of the feed stays open, which bounds the age of
+	// its orders. A node remains a relay for relayAssignmentTTL after the owner last assigned it.
+	// It is ready while its orders are younger than maxReadyAge.
+	relayFeedWait      = 500 * time.Millisecond
+	relayAssignmentTTL = 3 * farSlowest
+	maxReadyAge        = 1200 * time.Millisecond
+	// relayTerm is how long a new owner collects reports of which relays are ready.
 	relayTerm = 2 * farSlowest
-	// maxOrdersAge is how old a node's orders may be after a relay's answer; they become relayWait older
-	// until the next one. The relay's own calls make it as old as twice relayFeed.
+	// maxOrdersAge is the maximum age of a node's orders after a relay's response. They age by
+	// another relayPollWait before the next one. The relay's own feed calls account for up to
+	// twice relayFeedWait.
 	maxOrdersAge = 1500 * time.Millisecond
-	// relayRest is for how long a relay is not asked after it has failed.
-	relayRest = 5 * time.Second
+	// relayRetryDelay is how long a failed relay is not asked again.
+	relayRetryDelay = 5 * time.Second
 )
 
-// orderExchange is what a node knows of where to have the operator's orders.
+// orderExchange tracks from where a node gets the operator's orders.
 type orderExchange struct {
-	mu       sync.Mutex
-	relay    string    // as the owner names it; empty: the store
-	failed   string    // the relay that failed last
-	failedAt time.Time // when it did
-	inUse    bool      // the orders come from a relay
-	chosenAt time.Time // when the owner last chose this node as a relay
-	changed  chan struct{}
+	mu          sync.Mutex
+	relay       string    // address assigned by the owner; empty: the store
+	failedRelay string    // address of the relay that failed last
+	failedAt    time.Time // when that relay failed
+	viaRelay    bool      // whether the orders come from a relay
+	assignedAt  time.Time // when the owner last assigned this node as a relay
+	changed     chan struct{}
 }
 
-// assign notes which relay the owner names, and whether it chooses this node as one.
+// assign records the relay named in a heartbeat, and whether the heartbeat assigns this node as a
+// relay.
 func (e *orderExchange) assign(message beat, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,53 +61,52 @@
 		e.relay = message.Relay
 	}
 	if message.Relays {
-		e.chosenAt = now
+		e.assignedAt = now
 	}
 }
 
-// usable returns the relay to be asked now, or nothing.
+// usable returns the address of the relay to ask, or "" if there is none or it failed recently.
 func (e *orderExchange) usable(now time.Time) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.relay == e.failed && now.Sub(e.failedAt) < relayRest {
+	if e.relay == e.failedRelay && now.Sub(e.failedAt) < relayRetryDelay {
 		return ""
 	}
 	return e.relay
 }
 
-// distrust notes that a relay has failed.
-func (e *orderExchange) distrust(relay string, now time.Time) {
+func (e *orderExchange) markFailed(relay string, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failed, e.failedAt = relay, now
+	e.failedRelay, e.failedAt = relay, now
 }
 
-// use notes whether the orders come from a relay.
-func (e *orderExchange) use(inUse bool) {
+// setViaRelay records whether the orders come from a relay.
+func (e *orderExchange) setViaRelay(viaRelay bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.inUse = inUse
+	e.viaRelay = viaRelay
 }
 
 // relayed reports whether the orders come from a relay.
 func (e *orderExchange) relayed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.inUse
+	return e.viaRelay
 }
 
-// feedWait returns how long this node's calls of the feed may stay open, as a relay; 0: as long as
-// any.
+// feedWait returns how long the feed calls of this node may stay open if it is a relay; 0: no
+// limit beyond the default.
 func (e *orderExchange) feedWait(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.chosenAt) < relaying {
-		return relayFeed
+	if now.Sub(e.assignedAt) < relayAssignmentTTL {
+		return relayFeedWait
 	}
 	return 0
 }
 
-// news wakes the calls that are held for it.
+// news wakes the requests that wait for newer orders.
 func (e *orderExchange) news() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,8 +116,8 @@
 	}
 }
 
-// awaitNews returns a channel that is closed with the next news.
-func (e *orderExchange) awaitNews() <-chan struct{} {
+// nextChange returns a channel that is closed at the next call of news.
+func (e *orderExchange) nextChange() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.changed == nil {
@@ -125,8 +126,8 @@
 	return e.changed
 }
 
-// followOrders keeps the table of routes and the evacuated data halls as the store has them, by way
-// of a relay where there is one that can be trusted.
+// followOrders keeps the table of routes and the evacuated data halls up to date, from a relay if
+// a usable one is assigned and from the store otherwise.
 func (n *Node) followOrders(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.followStore(ctx)
@@ -134,9 +135,10 @@
 	}
 }
 
-// relayNow returns the relay to be asked now. An owner reads the store itself: what it starts rests
-// on how fresh its orders are. So does a node that has no table yet.
-func (n *Node) relayNow() string {
+// currentRelay returns the address of the relay to ask, or "" if the node must read the store. An
+// owner reads the store, because its scheduling decisions depend on fresh orders. So does a node
+// without a table.
+func (n *Node) currentRelay() string {
 	n.mu.Lock()
 	owns := n.own != nil
 	n.mu.Unlock()
@@ -146,23 +148,23 @@
 	return n.orders.usable(time.Now())
 }
 
-// followStore follows the store until there is a relay to be asked.
+// followStore follows the store's feed until there is a relay to ask.
 func (n *Node) followStore(parent context.Context) {
 	ctx, stop := context.WithCancel(parent)
 	defer stop()
-	offer := func(table routing.Table) { n.routes.Offer(table) }
-	answered := func() {
-		n.tableArrived()
-		if n.relayNow() != "" {
+	onTable := func(table routing.Table) { n.routes.Offer(table) }
+	onAnswer := func() {
+		n.feedAnswered()
+		if n.currentRelay() != "" {
 			stop()
 		}
 	}
-	n.platform.FollowOrders(ctx, offer, n.takeEvacuations, rowstore.Reach{
-		Answered: answered, Failed: n.tableFails, Progressed: n.tableArrives, Received: n.tableReceived, Wait: n.feedWait,
+	n.platform.FollowOrders(ctx, onTable, n.takeEvacuations, rowstore.Reach{
+		Answered: onAnswer, Failed: n.feedFailed, Progressed: n.feedProgressed, Received: n.feedReceived, Wait: n.feedWait,
 	})
 }
 
-// feedWait returns how long a call of the feed may stay open; 0: as long as any.
+// feedWait returns how long a feed call may stay open; 0: no limit beyond the default.
 func (n *Node) feedWait() time.Duration {
 	wait := n.orders.feedWait(time.Now())
 	if within := n.config.Scheduler.EvacuateWithin / evacuationCalls; within > 0 && (wait == 0 || within < wait) {
@@ -171,120 +173,120 @@
 	return wait
 }
 
-// followRelay follows a relay for as long as it is to be asked.
+// followRelay polls a relay until there is none to ask.
 func (n *Node) followRelay(ctx context.Context) {
-	defer n.orders.use(false)
-	begun := ""
+	defer n.orders.setViaRelay(false)
+	logged := ""
 	for ctx.Err() == nil {
-		relay := n.relayNow()
+		relay := n.currentRelay()
 		if relay == "" {
 			return
 		}
-		n.orders.use(true)
-		if relay != begun {
+		n.orders.setViaRelay(true)
+		if relay != logged {
 			n.log.Info().Str("relay", relay).Msg("orders come from a relay")
-			begun = relay
+			logged = relay
 		}
-		if err := n.askRelay(ctx, relay); err != nil && ctx.Err() == nil {
-			n.metrics.relays.Add(relayFailed, 1)
+		if err := n.pollRelay(ctx, relay); err != nil && ctx.Err() == nil {
+			n.metrics.relayCalls.Add(relayFailed, 1)
 			n.log.Info().Str("relay", relay).Err(err).Msg("orders come from the store: the relay failed")
-			n.orders.distrust(relay, time.Now())
+			n.orders.markFailed(relay, time.Now())
 		}
 	}
 }
 
-// StaleOrdersError says that a node's orders have become too old in spite of its relay.
+// StaleOrdersError reports that the orders received from a relay are too old.
 type StaleOrdersError struct{ Age time.Duration }
 
 func (e *StaleOrdersError) Error() string {
-	return "the operator's orders may be " + e.Age.Round(time.Millisecond).String() + " old"
+	return "operator's orders may be " + e.Age.Round(time.Millisecond).String() + " old, want at most " + maxOrdersAge.String()
 }
 
-// askRelay asks a relay for news and takes them in.
-func (n *Node) askRelay(parent context.Context, relay string) error {
-	ctx, cancel := transfer.WithStallLimit(parent, relayWait+relaySlack, func() { n.tables.setArriving(true) })
+// pollRelay requests newer orders from a relay and applies them.
+func (n *Node) pollRelay(parent context.Context, relay string) error {
+	ctx, cancel := transfer.WithStallLimit(parent, relayPollWait+relayCallMargin, func() { n.tables.setArriving(true) })
 	defer cancel()
 	defer n.tables.setArriving(false)
 	table, _ := n.routes.Current()
 	view := n.evacuations.Current()
 	sent := clock.Now()
-	answer, err := peer.Call[ordersAnswer](ctx, n.client, relay, ordersPath, ordersCall{table.Version, view.Version(), view.Halls(), relayWait})
+	answer, err := peer.Call[ordersResponse](ctx, n.client, relay, ordersPath, ordersCall{table.Version, view.Version(), view.Halls(), relayPollWait})
 	if err != nil {
 		return err
 	}
 	now := clock.Now()
-	if err := n.takeOrders(answer, now, answer.Age+max(0, now.Sub(sent)-answer.Held)); err != nil {
+	if err := n.applyOrders(answer, now, answer.Age+max(0, now.Sub(sent)-answer.HeldFor)); err != nil {
 		return err
 	}
 	if age, _ := n.evacuations.Current().Age(now); age > maxOrdersAge {
 		return &StaleOrdersError{age}
 	}
-	n.metrics.relays.Add(relayAnswered, 1)
+	n.metrics.relayCalls.Add(relayAnswered, 1)
 	return nil
 }
 
-// takeOrders takes in what a relay has told, which was true a time before now.
-func (n *Node) takeOrders(answer ordersAnswer, now clock.Instant, age time.Duration) error {
+// applyOrders applies a relay's response whose contents had the given age at now.
+func (n *Node) applyOrders(answer ordersResponse, now clock.Instant, age time.Duration) error {
 	if len(answer.Table) > 0 {
 		var table routing.Table
 		if err := codec.Unmarshal(answer.Table, &table); err != nil {
 			return err
 		}
-		n.metrics.tables.Add(fromRelay, 1)
+		n.metrics.tableExchanges.Add(fromRelay, 1)
 		n.routes.Offer(table)
 	}
-	n.takeEvacuations(evacuation.NewView(answer.Halls, answer.Evacuations, now.Before(age)))
+	n.takeEvacuations(evacuation.NewView(answer.Halls, answer.EvacuationVersion, now.Before(age)))
 	if !n.routes.Lacks(answer.TableVersion) {
 		n.tables.current(age)
 	}
 	return nil
 }
 
-// answerOrders holds a node's call until there is news for it, or for as long as it allows. A relay
-// that the store does not answer says so at once.
-func (n *Node) answerOrders(ctx context.Context, call ordersCall) (ordersAnswer, error) {
+// answerOrders holds a node's request until there are newer orders for it, or until the wait it
+// allows has passed. It fails at once if the store does not answer this relay.
+func (n *Node) answerOrders(ctx context.Context, call ordersCall) (ordersResponse, error) {
 	begun := time.Now()
-	timer := time.NewTimer(min(call.Wait, relayWait))
+	timer := time.NewTimer(min(call.Wait, relayPollWait))
 	defer timer.Stop()
 	for {
-		news := n.orders.awaitNews()
-		if n.storeFailing() {
-			return ordersAnswer{}, &StoreFailsError{}
+		news := n.orders.nextChange()
+		if n.storeUnavailable() {
+			return ordersResponse{}, &StoreUnavailableError{}
 		}
 		table, ok := n.routes.Current()
 		if !ok {
-			return ordersAnswer{}, &NoTableError{}
+			return ordersResponse{}, &NoTableError{}
 		}
 		view := n.evacuations.Current()
-		if table.Version > call.Table || call.lacks(view) {
-			return n.ordersNow(call, time.Since(begun))
+		if table.Version > call.TableVersion || call.lacks(view) {
+			return n.currentOrders(call, time.Since(begun))
 		}
 		select {
 		case <-news:
 		case <-timer.C:
-			return n.ordersNow(call, time.Since(begun))
+			return n.currentOrders(call, time.Since(begun))
 		case <-ctx.Done():
-			return ordersAnswer{}, ctx.Err()
+			return ordersResponse{}, ctx.Err()
 		}
 	}
 }
 
-// lacks reports whether a view is news for the caller: one that has heard of a later change than its
-// relay is held like any other.
+// lacks reports whether a view is newer than the caller's and lists different halls. A caller
+// whose view is newer than the relay's is held like any other.
 func (c ordersCall) lacks(view evacuation.View) bool {
 	return view.Version() > c.Evacuations && !view.SameHalls(evacuation.NewView(c.Halls, c.Evacuations, clock.Instant{}))
 }
 
-// ordersNow returns what this node has of the operator's orders.
-func (n *Node) ordersNow(call ordersCall, held time.Duration) (ordersAnswer, error) {
+// currentOrders returns the operator's orders as known to this node.
+func (n *Node) currentOrders(call ordersCall, held time.Duration) (ordersResponse, error) {
 	table, _ := n.routes.Current()
 	view := n.evacuations.Current()
 	age, known := view.Age(clock.Now())
 	if !known {
-		return ordersAnswer{}, &StoreFailsError{}
+		return ordersResponse{}, &StoreUnavailableError{}
 	}
-	answer := ordersAnswer{TableVersion: table.Version, Evacuations: view.Version(), Halls: view.Halls(), Age: age, Held: held}
-	if table.Version <= call.Table {
+	answer := ordersResponse{TableVersion: table.Version, EvacuationVersion: view.Version(), Halls: view.Halls(), Age: age, HeldFor: held}
+	if table.Version <= call.TableVersion {
 		return answer, nil
 	}
 	var err error
@@ -292,20 +294,21 @@
 	return answer, err
 }
 
-// relaysNow reports whether this node is chosen as a relay and its orders are fresh enough.
+// relaysNow reports whether this node is assigned as a relay and its orders are fresh enough.
 func (n *Node) relaysNow() bool {
 	age, known := n.evacuations.Current().Age(clock.Now())
-	return known && age < relayReady && n.orders.feedWait(time.Now()) > 0
+	return known && age < maxReadyAge && n.orders.feedWait(time.Now()) > 0
 }
 
-// storeFailing reports whether the store does not answer this node.
-func (n *Node) storeFailing() bool {
+// storeUnavailable reports whether the store does not answer this node.
+func (n *Node) storeUnavailable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.storeBad
 }
 
-// StoreFailsError says that a node cannot relay, for the store does not answer it.
-type StoreFailsError struct{}
+// StoreUnavailableError reports that a node cannot act as a relay because the store does not
+// answer it.
+type StoreUnavailableError struct{}
 
-func (e *StoreFailsError) Error() string { return "the store does not answer this node" }
+func (e *StoreUnavailableError) Error() string { return "the store does not answer this node" }
--- a/node/relayplan.go
+++ b/node/relayplan.go
@@ -1,27 +1,26 @@
 package node
 
-// Who relays the operator's orders to whom, as an owner decides it.
-
 const (
-	// relayHall is how many nodes a data hall has, at the least, for some to relay.
-	relayHall = 16
-	// relayLink is what the link of a relay takes at the least, in Mbit/s, and linkShare how much of
-	// it there is to be for each node that it serves: a configuration of 0.5 MB then reaches them
-	// all within half a second. maxFollowers bounds these nodes.
-	relayLink    = 100
-	linkShare    = 8
-	maxFollowers = 32
+	// minRelayHallSize is the number of nodes in a data hall from which it gets relays.
+	minRelayHallSize = 16
+	// minRelayLink is the minimum bandwidth of a relay's link, and linkPerFollower the share of it
+	// for each node that it serves, both in Mbit/s. A configuration of 0.5 MB then reaches all
+	// followers within half a second. maxFollowers bounds the number of nodes that one relay
+	// serves.
+	minRelayLink    = 100
+	linkPerFollower = 8
+	maxFollowers    = 32
 )
 
-// relayPlan is which nodes relay the operator's orders, and to whom. It never changes.
+// relayPlan assigns relays to nodes. It is immutable.
 type relayPlan struct {
-	// chosen are the names of the nodes that are to relay.
+	// chosen holds the names of the nodes assigned as relays.
 	chosen map[string]bool
-	// relays are the addresses of the relays by the names of the nodes that are to ask there.
+	// relays maps names of nodes to the addresses of their relays.
 	relays map[string]string
 }
 
-// relayPlan returns the plan as the members and what they answer have it. The lock is held.
+// relayPlan returns the plan for the current members and their readiness. n.mu must be held.
 func (n *Node) relayPlan(ranked []Member) relayPlan {
 	if n.plan != nil && n.planAt == n.memberSerial {
 		return *n.plan
@@ -37,8 +36,8 @@
 	return plan
 }
 
-// planRelays chooses relays for large data halls, as far as there are enough nodes with wide links,
-// and has nodes ask those that are ready. The owner takes no part.
+// planRelays assigns relays in large data halls, as far as there are enough nodes with wide links,
+// and assigns followers to the relays that are ready. The owner neither is a relay nor has one.
 func planRelays(ranked []Member, owner string, ready func(Member) bool) relayPlan {
 	halls := map[string][]Member{}
 	for _, member := range ranked {
@@ -48,17 +47,18 @@
 	}
 	plan := relayPlan{map[string]bool{}, map[string]string{}}
 	for _, members := range halls {
-		if len(members) >= relayHall {
+		if len(members) >= minRelayHallSize {
 			plan.addHall(members, ready)
 		}
 	}
 	for _, member := range ranked[:min(len(ranked), succession)] {
-		delete(plan.relays, member.Node) // its orders must be fresh when it takes the shard
+		delete(plan.relays, member.Node) // a likely successor reads the store, so that its orders are fresh on takeover
 	}
 	return plan
 }
 
-// addHall chooses the relays of one data hall, the best owners, as few as serve all its nodes.
+// addHall assigns the relays of one data hall: the most preferred members with wide links, as few
+// as can serve all others.
 func (p relayPlan) addHall(members []Member, ready func(Member) bool) {
 	var relays, others []Member
 	room := 0
@@ -85,8 +85,8 @@
 
 // followersOf returns how many nodes a member may serve as a relay.
 func followersOf(member Member) int {
-	if member.Link < relayLink {
+	if member.Link < minRelayLink {
 		return 0
 	}
-	return min(maxFollowers, int(member.Link/linkShare))
+	return min(maxFollowers, int(member.Link/linkPerFollower))
 }
--- a/node/serve.go
+++ b/node/serve.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// patience is how long a call waits for its owner's answer, at most, and
-	// ownerPatience how long for there to be an owner.
-	patience      = 2500 * time.Millisecond
-	ownerPatience = 1300 * time.Millisecond
-	// ownerCall is how long one call to the owner may take.
-	ownerCall = 2400 * time.Millisecond
-	ownerWait = 25 * time.Millisecond
+	// serveTimeout bounds a call including retries. noOwnerTimeout bounds the time for which it is
+	// retried while no owner carries it out.
+	serveTimeout   = 2500 * time.Millisecond
+	noOwnerTimeout = 1300 * time.Millisecond
+	// ownerCallTimeout is the timeout of one call to the owner.
+	ownerCallTimeout = 2400 * time.Millisecond
+	ownerRetryDelay  = 25 * time.Millisecond
 )
 
-// Submit takes a job to the owner and returns once it is in the store. Besides the
-// scheduler's errors, of which OverloadedError says that the job was not taken and
-// UnconfirmedError that it may have been, it returns those of routing.Table.Recheck.
+// Submit passes a job to the owner and returns once it is in the store. Besides the scheduler's
+// errors it returns those of routing.Table.Recheck. After an OverloadedError the job was not
+// accepted; after an UnconfirmedError it may have been.
 func (n *Node) Submit(ctx context.Context, caller routing.Caller, id string, record workload.Record) error {
 	err := n.serve(ctx, id, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Submit(ctx, id, record)
-	}, func(ctx context.Context, address string, within time.Duration) error {
-		_, err := peer.Call[nothing](ctx, n.client, address, submitPath, submitCall{id, record, within, caller})
+	}, func(ctx context.Context, address string, timeout time.Duration) error {
+		_, err := peer.Call[nothing](ctx, n.client, address, submitPath, submitRequest{id, record, timeout, caller})
 		return err
 	})
 	var overloaded *scheduler.OverloadedError
@@ -43,8 +43,8 @@
 func (n *Node) Cancel(ctx context.Context, caller routing.Caller, id string) error {
 	return n.serve(ctx, id, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Cancel(ctx, caller.Account, id)
-	}, func(ctx context.Context, address string, within time.Duration) error {
-		_, err := peer.Call[nothing](ctx, n.client, address, cancelPath, jobCall{id, within, caller})
+	}, func(ctx context.Context, address string, timeout time.Duration) error {
+		_, err := peer.Call[nothing](ctx, n.client, address, cancelPath, jobRequest{id, timeout, caller})
 		return err
 	})
 }
@@ -54,35 +54,35 @@
 	err = n.serve(ctx, id, func(ctx context.Context, own *scheduler.Scheduler) error {
 		state, err = own.State(ctx, caller.Account, id)
 		return err
-	}, func(ctx context.Context, address string, within time.Duration) error {
-		state, err = peer.Call[workload.State](ctx, n.client, address, statePath, jobCall{id, within, caller})
+	}, func(ctx context.Context, address string, timeout time.Duration) error {
+		state, err = peer.Call[workload.State](ctx, n.client, address, statePath, jobRequest{id, timeout, caller})
 		return err
 	})
 	return state, err
 }
 
-// Pending counts a queue's jobs of which no task has begun.
+// Pending returns the number of a queue's jobs of which no task has started.
 func (n *Node) Pending(ctx context.Context, caller routing.Caller, queue string) (count int, err error) {
 	err = n.serve(ctx, queue, func(_ context.Context, own *scheduler.Scheduler) error {
 		count = own.Pending(queue)
 		return nil
 	}, func(ctx context.Context, address string, _ time.Duration) error {
-		count, err = peer.Call[int](ctx, n.client, address, pendingPath, pendingCall{queue, caller})
+		count, err = peer.Call[int](ctx, n.client, address, pendingPath, pendingRequest{queue, caller})
 		return err
 	})
 	return count, err
 }
 
-// serve does a call at the owner, here or at another node, and waits for one if
-// there is none. A call that was not carried out for certain is tried again, and
-// so is one that may have been: every call may be repeated.
-func (n *Node) serve(ctx context.Context, id string, here func(context.Context, *scheduler.Scheduler) error, there func(context.Context, string, time.Duration) error) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// serve carries out a call at the owner, which is this node or another one, and waits for an owner
+// if there is none. It retries calls that were not carried out and calls that may have been,
+// because all of them are idempotent.
+func (n *Node) serve(ctx context.Context, id string, local func(context.Context, *scheduler.Scheduler) error, remote func(context.Context, string, time.Duration) error) error {
+	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
 	begun := time.Now()
-	var unsettled error // what a try that may have been carried out came to
+	var uncertain error // error of a try that may have been carried out
 	for {
-		err := n.serveOnce(ctx, id, here, there)
+		err := n.tryServe(ctx, id, local, remote)
 		var (
 			notOwner    *NotOwnerError
 			unreachable *peer.UnreachableError
@@ -93,53 +93,54 @@
 		switch {
 		case errors.As(err, &notOwner), errors.As(err, &unreachable):
 		case errors.As(err, &lost), errors.As(err, &unconfirmed):
-			unsettled = err
-		case errors.As(err, &overloaded) && unsettled != nil:
-			return &scheduler.UnconfirmedError{Cause: unsettled}
+			uncertain = err
+		case errors.As(err, &overloaded) && uncertain != nil:
+			return &scheduler.UnconfirmedError{Cause: uncertain}
 		default:
 			return err
 		}
-		if wait.For(ctx, ownerWait) != nil || time.Since(begun) > ownerPatience {
-			if unsettled != nil {
-				return &scheduler.UnconfirmedError{Cause: unsettled}
+		if wait.For(ctx, ownerRetryDelay) != nil || time.Since(begun) > noOwnerTimeout {
+			if uncertain != nil {
+				return &scheduler.UnconfirmedError{Cause: uncertain}
 			}
-			return &scheduler.OverloadedError{Why: "no owner: " + err.Error(), RetryAfter: retryAfter}
+			return &scheduler.OverloadedError{Why: "no owner has carried out the call: " + err.Error(), RetryAfter: retryAfter}
 		}
 	}
 }
 
-func (n *Node) serveOnce(ctx context.Context, id string, here func(context.Context, *scheduler.Scheduler) error, there func(context.Context, string, time.Duration) error) error {
+// tryServe tries a call once at the currently known owner.
+func (n *Node) tryServe(ctx context.Context, id string, local func(context.Context, *scheduler.Scheduler) error, remote func(context.Context, string, time.Duration) error) error {
 	n.mu.Lock()
 	own, owner, changed := n.own, n.owner, n.changed
 	n.mu.Unlock()
 	if own != nil {
-		return n.serveHere(ctx, own, here)
+		return n.serveLocal(ctx, own, local)
 	}
 	if owner.Address == "" || owner.Address == n.config.Self.Address {
 		return &NotOwnerError{}
 	}
-	callCtx, cancel := context.WithTimeout(ctx, ownerCall)
+	callCtx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
-	go func() { // a new owner ends the call to the former one
+	go func() { // cancel the call if the owner changes
 		select {
 		case <-changed:
 			cancel()
 		case <-callCtx.Done():
 		}
 	}()
-	err := there(callCtx, owner.Address, ownerCall)
+	err := remote(callCtx, owner.Address, ownerCallTimeout)
 	if isRefused(err) {
 		n.doubtOwner(owner)
 	}
 	return decodeError(id, err)
 }
 
-// serveHere does a call at this node's scheduler, once that has loaded.
-func (n *Node) serveHere(ctx context.Context, own *scheduler.Scheduler, here func(context.Context, *scheduler.Scheduler) error) error {
+// serveLocal carries out a call at this node's scheduler once that has loaded.
+func (n *Node) serveLocal(ctx context.Context, own *scheduler.Scheduler, local func(context.Context, *scheduler.Scheduler) error) error {
 	if err := n.awaitLoaded(ctx, own); err != nil {
 		return err
 	}
-	err := here(ctx, own)
+	err := local(ctx, own)
 	var deposed *scheduler.DeposedError
 	if errors.As(err, &deposed) {
 		return &NotOwnerError{}
@@ -147,11 +148,11 @@
 	return err
 }
 
-// loadWait is how long one call waits for a scheduler to load; serve asks again.
-const loadWait = 400 * time.Millisecond
+// loadTimeout bounds how long one try waits for the scheduler to load; serve retries.
+const loadTimeout = 400 * time.Millisecond
 
-// awaitLoaded waits until the scheduler may be asked. While the store does not let it
-// load, calls are refused at once: nothing can be done for them, and nothing was.
+// awaitLoaded waits until the scheduler has loaded. It refuses calls at once while loading from
+// the store fails.
 func (n *Node) awaitLoaded(ctx context.Context, own *scheduler.Scheduler) error {
 	select {
 	case <-own.Loaded:
@@ -159,9 +160,9 @@
 	default:
 	}
 	if n.loadFails.Load() {
-		return &scheduler.OverloadedError{Why: "the store does not let the shard be loaded", RetryAfter: retryAfter}
+		return &scheduler.OverloadedError{Why: "loading the shard from the store fails", RetryAfter: retryAfter}
 	}
-	timer := time.NewTimer(loadWait)
+	timer := time.NewTimer(loadTimeout)
 	defer timer.Stop()
 	select {
 	case <-own.Loaded:
@@ -172,10 +173,9 @@
 	return &NotOwnerError{}
 }
 
-// atOwner does another node's call, if this node owns the shard and its table, where it is
-// the newer one, lets the caller in too: a node that has missed a change of the
-// configuration would serve by the old one.
-func (n *Node) atOwner(ctx context.Context, caller routing.Caller, within time.Duration, here func(context.Context, *scheduler.Scheduler) error) error {
+// serveAsOwner carries out a call from another node if this node owns the shard. It checks the
+// caller against this node's table again, as the other node may have an older one.
+func (n *Node) serveAsOwner(ctx context.Context, caller routing.Caller, timeout time.Duration, local func(context.Context, *scheduler.Scheduler) error) error {
 	n.mu.Lock()
 	own := n.own
 	n.mu.Unlock()
@@ -187,36 +187,36 @@
 			return encodeError(err)
 		}
 	}
-	if within > 0 {
-		limited, cancel := context.WithTimeout(ctx, within)
+	if timeout > 0 {
+		limited, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		ctx = limited
 	}
-	return encodeError(n.serveHere(ctx, own, here))
+	return encodeError(n.serveLocal(ctx, own, local))
 }
 
-func (n *Node) answerSubmit(ctx context.Context, call submitCall) (nothing, error) {
-	return nothing{}, n.atOwner(ctx, call.Caller, call.Within, func(ctx context.Context, own *scheduler.Scheduler) error {
+func (n *Node) answerSubmit(ctx context.Context, call submitRequest) (nothing, error) {
+	return nothing{}, n.serveAsOwner(ctx, call.Caller, call.Timeout, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Submit(ctx, call.ID, call.Record)
 	})
 }
 
-func (n *Node) answerCancel(ctx context.Context, call jobCall) (nothing, error) {
-	return nothing{}, n.atOwner(ctx, call.Caller, call.Within, func(ctx context.Context, own *scheduler.Scheduler) error {
+func (n *Node) answerCancel(ctx context.Context, call jobRequest) (nothing, error) {
+	return nothing{}, n.serveAsOwner(ctx, call.Caller, call.Timeout, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Cancel(ctx, call.Caller.Account, call.ID)
 	})
 }
 
-func (n *Node) answerState(ctx context.Context, call jobCall) (state workload.State, err error) {
-	err = n.atOwner(ctx, call.Caller, call.Within, func(ctx context.Context, own *scheduler.Scheduler) error {
+func (n *Node) answerState(ctx context.Context, call jobRequest) (state workload.State, err error) {
+	err = n.serveAsOwner(ctx, call.Caller, call.Timeout, func(ctx context.Context, own *scheduler.Scheduler) error {
 		state, err = own.State(ctx, call.Caller.Account, call.ID)
 		return err
 	})
 	return state, err
 }
 
-func (n *Node) answerPending(ctx context.Context, call pendingCall) (count int, err error) {
-	err = n.atOwner(ctx, call.Caller, 0, func(_ context.Context, own *scheduler.Scheduler) error {
+func (n *Node) answerPending(ctx context.Context, call pendingRequest) (count int, err error) {
+	err = n.serveAsOwner(ctx, call.Caller, 0, func(_ context.Context, own *scheduler.Scheduler) error {
 		count = own.Pending(call.Queue)
 		return nil
 	})
--- a/node/table.go
+++ b/node/table.go
@@ -15,41 +15,39 @@
 )
 
 const (
-	// fetchQuiet is for how long nothing may come of a table that another node sends.
-	fetchQuiet = 2 * time.Second
-	// fetchAfter is how long the store has to begin with a table that another node has,
-	// before it is fetched there: two heartbeats. On a narrow link two copies at once take
-	// twice as long each.
+	// fetchStallLimit is how long the transfer of a table from another node may make no progress.
+	fetchStallLimit = 2 * time.Second
+	// fetchAfter is how long to wait for the store to start sending a newer table before it is
+	// fetched from another node. Both at once would take twice as long on a narrow link.
 	fetchAfter = 2 * beatEvery
-	// largeAnswer is from how many bytes on an answer of the store leaves a line: on the
-	// narrowest link at hand, 10 Mbit/s, it takes 50 ms.
-	largeAnswer = 64 << 10
+	// largeResponseBytes is the size from which a response of the store is logged.
+	largeResponseBytes = 64 << 10
 )
 
-// tableExchange is what a node knows of newer tables of routes than its own, and of their
-// transfers. At most one comes from another node at a time, and none while the store
-// brings one.
+// tableExchange tracks how current a node's table of routes is and the transfers of newer tables.
+// A node fetches at most one table from other nodes at a time, and none while the store or a relay
+// sends one.
 type tableExchange struct {
-	mu       sync.Mutex
-	behind   time.Time // since when a newer table has been known; zero: none is
-	arriving bool      // the store has begun an answer that is not taken in yet
-	fetching bool
-	// toldAt is when there was word that this node's table is the newest, or was at a time
-	// that was toldAge ago then.
-	toldAt  clock.Instant
-	toldAge time.Duration
+	mu          sync.Mutex
+	behindSince time.Time // when a newer table became known; zero: none is known
+	receiving   bool      // a response of the store or a relay has started and is not applied yet
+	fetching    bool
+	// confirmedAt is when the table was last confirmed as the newest, confirmedAge the age of that
+	// information then.
+	confirmedAt  clock.Instant
+	confirmedAge time.Duration
 
-	encodeMu sync.Mutex // held while a table is encoded, which others wait for
-	encoded  codec.Raw  // of the version
-	version  uint64
+	encodeMu       sync.Mutex // guards encoded and encodedVersion; held during encoding
+	encoded        codec.Raw  // encoding of the table of version encodedVersion
+	encodedVersion uint64
 }
 
-// tableChanged takes note of the table that is in force from now on.
+// tableChanged applies a table that has come into force.
 func (n *Node) tableChanged(table routing.Table) {
 	n.log.Info().Uint64("version", table.Version).Int("routes", len(table.Routes)).Msg("configuration in force")
 	n.metrics.tableVersion.Set(int64(table.Version))
 	n.tables.mu.Lock()
-	n.tables.behind = time.Time{}
+	n.tables.behindSince = time.Time{}
 	n.tables.mu.Unlock()
 	n.orders.news()
 	n.mu.Lock()
@@ -60,97 +58,96 @@
 	}
 }
 
-// configure tells a scheduler the configuration in force.
+// configure passes the configuration in force to a scheduler.
 func configure(own *scheduler.Scheduler, table routing.Table) {
 	own.SetAccounts(table.Directory())
 	own.SetQueues(table.Queues())
 }
 
-// tableTrusted is for how long a table counts as the newest without word of that. The store
-// says so each two seconds at the least, and the owner with its heartbeats.
-const tableTrusted = 2500 * time.Millisecond
+// tableTrustPeriod is how long a table counts as the newest after a confirmation. The store
+// confirms it at least every 2 s, and the owner does in its heartbeats.
+const tableTrustPeriod = 2500 * time.Millisecond
 
-// TableIsCurrent reports whether no newer table than the one in force is likely to be. By an
-// old one no call is turned away: its key or route may be new.
-func (n *Node) TableIsCurrent() bool { return n.tableAge() < tableTrusted }
+// TableIsCurrent reports whether the table in force was recently confirmed as the newest.
+// Otherwise calls must not be rejected by it, as their key or route may be new.
+func (n *Node) TableIsCurrent() bool { return n.tableAge() < tableTrustPeriod }
 
-// tableAge returns for how long there has been no word that this node's table is the newest;
-// a long time if it is known not to be.
+// tableAge returns the time since the table was last confirmed as the newest, or tableTrustPeriod
+// if it is known to be outdated.
 func (n *Node) tableAge() time.Duration {
 	n.tables.mu.Lock()
 	defer n.tables.mu.Unlock()
-	if !n.tables.behind.IsZero() {
-		return tableTrusted
+	if !n.tables.behindSince.IsZero() {
+		return tableTrustPeriod
 	}
 	return n.tables.age(clock.Now())
 }
 
-// age returns for how long there has been no word that the table is the newest. The lock is
-// held.
+// age returns the time since the table was last confirmed as the newest, or tableTrustPeriod if it
+// never was. e.mu must be held.
 func (e *tableExchange) age(now clock.Instant) time.Duration {
-	if e.toldAt.IsZero() {
-		return tableTrusted
+	if e.confirmedAt.IsZero() {
+		return tableTrustPeriod
 	}
-	return e.toldAge + now.Sub(e.toldAt)
+	return e.confirmedAge + now.Sub(e.confirmedAt)
 }
 
-// current notes that this node's table was the newest a time ago.
+// current records that this node's table was the newest the given time ago.
 func (e *tableExchange) current(ago time.Duration) {
 	now := clock.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.toldAt.IsZero() || ago < e.age(now) {
-		e.toldAt, e.toldAge = now, ago
+	if e.confirmedAt.IsZero() || ago < e.age(now) {
+		e.confirmedAt, e.confirmedAge = now, ago
 	}
 }
 
-// tableArrives notes that the store has brought a part of an answer: it is there, however
-// long the whole takes.
-func (n *Node) tableArrives() {
+// feedProgressed records that a part of a response of the store has arrived. The store then counts
+// as available, however long the whole response takes.
+func (n *Node) feedProgressed() {
 	n.storeAnswers()
 	n.tables.setArriving(true)
 }
 
-// tableArrived notes that an answer of the store is whole and taken in.
-func (n *Node) tableArrived() {
+// feedAnswered records that a response of the store is complete and applied.
+func (n *Node) feedAnswered() {
 	n.storeAnswers()
 	n.tables.setArriving(false)
 	n.tables.current(0)
 }
 
-func (e *tableExchange) setArriving(arriving bool) {
+func (e *tableExchange) setArriving(receiving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.arriving = arriving
+	e.receiving = receiving
 }
 
-// tableReceived notes an answer of the feed of configurations.
-func (n *Node) tableReceived(table string, answer transfer.Received) {
-	if answer.Bytes < largeAnswer {
+// feedReceived logs and counts a large response of the feed.
+func (n *Node) feedReceived(table string, answer transfer.Received) {
+	if answer.Bytes < largeResponseBytes {
 		return
 	}
-	n.metrics.tables.Add(fromStore, 1)
+	n.metrics.tableExchanges.Add(fromStore, 1)
 	n.metrics.transferTimes.Record(answer.Took)
 	n.log.Info().Str("table", table).Int("bytes", answer.Bytes).Dur("took", answer.Took).Msg("large answer of the store")
 }
 
-// tableFails notes a failed call of the feed of configurations. A call whose answer broke
-// off leaves a line each time: it was long under way.
-func (n *Node) tableFails(err *rowstore.FollowError) {
+// feedFailed records a failed feed call. It logs each call whose response was interrupted.
+func (n *Node) feedFailed(err *rowstore.FollowError) {
 	n.storeFails(err)
-	n.orders.news() // who waits for this node's word asks elsewhere
+	n.orders.news() // waiting followers get an error and turn to the store
 	n.tables.setArriving(false)
-	broken := transfer.ReceivedBefore(err)
-	if broken.Bytes == 0 {
+	partial := transfer.ReceivedBefore(err)
+	if partial.Bytes == 0 {
 		return
 	}
-	n.metrics.tables.Add(storeBrokenOff, 1)
-	n.log.Warn().Str("table", err.Table).Str("exchange", string(err.Exchange)).Int("bytes", broken.Bytes).
+	n.metrics.tableExchanges.Add(storeBrokenOff, 1)
+	n.log.Warn().Str("table", err.Table).Str("exchange", string(err.Exchange)).Int("bytes", partial.Bytes).
 		Dur("took", err.Took).Err(err).Msg("answer of the store broke off")
 }
 
-// hearOfTable notes which table of routes another node has, and fetches it there if it is
-// newer than this node's and the store does not bring it.
+// hearOfTable records the version of another node's table, and fetches that table if it is newer
+// than this node's and the store does not send it.
 func (n *Node) hearOfTable(version uint64, address string) {
 	if version == 0 || !n.routes.Lacks(version) {
 		return
@@ -163,18 +160,18 @@
 	}
 }
 
-// mayFetch reports whether a newer table is to be fetched from another node now, and notes
-// that it is.
+// mayFetch reports whether to fetch a newer table from another node now. If so, it marks the fetch
+// as started.
 func (e *tableExchange) mayFetch(now time.Time, storeBad bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.behind.IsZero() {
-		e.behind = now
+	if e.behindSince.IsZero() {
+		e.behindSince = now
 	}
-	if e.fetching || e.arriving {
+	if e.fetching || e.receiving {
 		return false
 	}
-	if !storeBad && now.Sub(e.behind) < fetchAfter {
+	if !storeBad && now.Sub(e.behindSince) < fetchAfter {
 		return false
 	}
 	e.fetching = true
@@ -187,21 +184,20 @@
 	e.fetching = false
 }
 
-// fetchTable reads the table of routes from another node, for a node that the
-// store does not serve.
+// fetchTable fetches the table of routes from another node.
 func (n *Node) fetchTable(address string) {
 	defer n.tables.fetched()
-	ctx, cancel := transfer.WithStallLimit(n.ctx, fetchQuiet, nil)
+	ctx, cancel := transfer.WithStallLimit(n.ctx, fetchStallLimit, nil)
 	defer cancel()
 	begun := time.Now()
 	table, err := peer.Call[routing.Table](ctx, n.client, address, tablePath, nothing{})
 	if err != nil {
-		n.metrics.tables.Add(nodeFetchFailed, 1)
+		n.metrics.tableExchanges.Add(nodeFetchFailed, 1)
 		n.log.Warn().Str("from", address).Int("bytes", transfer.ReceivedBefore(err).Bytes).
 			Dur("took", time.Since(begun)).Err(err).Msg("configuration not fetched")
 		return
 	}
-	n.metrics.tables.Add(fromNode, 1)
+	n.metrics.tableExchanges.Add(fromNode, 1)
 	n.metrics.transferTimes.Record(time.Since(begun))
 	newer := n.routes.Offer(table)
 	n.log.Info().Str("from", address).Uint64("version", table.Version).Bool("newer", newer).
@@ -214,22 +210,22 @@
 	if !ok {
 		return nil, &NoTableError{}
 	}
-	n.metrics.tables.Add(servedToNode, 1)
+	n.metrics.tableExchanges.Add(servedToNode, 1)
 	return n.tables.encode(table)
 }
 
-// encode returns a table as it is sent. Many nodes may ask for it at once, so it is
-// encoded once for each version.
+// encode returns the encoded table. The result is cached for each version, because many nodes may
+// request it at once.
 func (e *tableExchange) encode(table routing.Table) (codec.Raw, error) {
 	e.encodeMu.Lock()
 	defer e.encodeMu.Unlock()
-	if e.encoded != nil && e.version == table.Version {
+	if e.encoded != nil && e.encodedVersion == table.Version {
 		return e.encoded, nil
 	}
 	data, err := codec.Marshal(table)
 	if err != nil {
 		return nil, err
 	}
-	e.encoded, e.version = data, table.Version
+	e.encoded, e.encodedVersion = data, table.Version
 	return e.encoded, nil
 }
