--- a/node/caller_test.go
+++ b/node/caller_test.go
@@ -14,20 +14,20 @@
 
 // Rows of a configuration that grant an account or take it away; each is a version.
 const (
-	grantRow  = "account/"
-	revokeRow = "revoke/"
+	grantPrefix  = "account/"
+	revokePrefix = "revoke/"
 )
 
-// withAccounts returns the table with a keyed route and the accounts that rows name. Each
+// addAccounts returns the table with a keyed route and the accounts that rows name. Each
 // account holds the key of its name.
-func withAccounts(table routing.Table, rows map[string]rowstore.Row) routing.Table {
+func addAccounts(table routing.Table, rows map[string]rowstore.Row) routing.Table {
 	for name := range rows {
-		holder, granted := strings.CutPrefix(name, grantRow)
-		if _, revoked := rows[revokeRow+holder]; !granted || revoked {
+		accountName, granted := strings.CutPrefix(name, grantPrefix)
+		if _, revoked := rows[revokePrefix+accountName]; !granted || revoked {
 			continue
 		}
 		table.Accounts = append(table.Accounts, account.Account{
-			Terms: account.Terms{Name: holder, Weight: 1}, Keys: []account.Digest{account.DigestOf(holder)},
+			Terms: account.Terms{Name: accountName, Weight: 1}, Keys: []account.Digest{account.DigestOf(accountName)},
 		})
 	}
 	if len(table.Accounts) > 0 {
@@ -55,30 +55,30 @@
 
 // A node that has missed a change of the configuration does not serve by the old one: the
 // owner looks again at each call that comes with an older table.
-func TestTheOwnerLooksAtCallersAgain(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
-		c.configure(grantRow+"a", 0)
-		c.configure(grantRow+"b", 0)
+func TestOwnerRechecksCallersOfStaleTables(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
+		c.writeConfiguration(grantPrefix+"a", 0)
+		c.writeConfiguration(grantPrefix+"b", 0)
 		for _, m := range c.nodes {
-			c.assertInForce(m, 3, time.Second)
+			c.assertConfigurationVersion(m, 3, time.Second)
 		}
-		before := c.identify(c.owner(), "a")
-		if _, err := c.nodes[2].Node.State(c.ctx, before, "unknown"); isKeyError(err) {
+		staleCaller := c.identify(c.owner(), "a")
+		if _, err := c.nodes[2].Node.State(c.ctx, staleCaller, "unknown"); isKeyError(err) {
 			t.Errorf("a caller whose key is there: %v", err)
 		}
-		c.configure(revokeRow+"a", 0)
-		c.assertInForce(c.owner(), 4, time.Second)
+		c.writeConfiguration(revokePrefix+"a", 0)
+		c.assertConfigurationVersion(c.owner(), 4, time.Second)
 		for _, m := range c.nodes {
 			if m.Owns() {
 				continue
 			}
-			if _, err := m.Node.State(c.ctx, before, "unknown"); !isKeyError(err) {
+			if _, err := m.Node.State(c.ctx, staleCaller, "unknown"); !isKeyError(err) {
 				t.Errorf("%s, state: %v, want KeyError", m.name, err)
 			}
-			if err := m.Node.Cancel(c.ctx, before, "unknown"); !isKeyError(err) {
+			if err := m.Node.Cancel(c.ctx, staleCaller, "unknown"); !isKeyError(err) {
 				t.Errorf("%s, cancel: %v, want KeyError", m.name, err)
 			}
-			if _, err := m.Node.Pending(c.ctx, before, "keyed"); !isKeyError(err) {
+			if _, err := m.Node.Pending(c.ctx, staleCaller, "keyed"); !isKeyError(err) {
 				t.Errorf("%s, pending: %v, want KeyError", m.name, err)
 			}
 			if _, err := m.Node.Pending(c.ctx, c.identify(m, "b"), "keyed"); err != nil {
@@ -89,40 +89,40 @@
 }
 
 func isKeyError(err error) bool {
-	var noKey *routing.KeyError
-	return errors.As(err, &noKey)
+	var keyError *routing.KeyError
+	return errors.As(err, &keyError)
 }
 
 // A node knows whether its table is the newest: from the store, and without it from the
 // owner's heartbeats. One that hears neither turns nobody away.
-func TestANodeKnowsHowOldItsTableIs(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
-		c.configure(grantRow+"a", 0)
-		other := c.nodes[0]
-		if other.Owns() {
-			other = c.nodes[1]
+func TestTableIsCurrent(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
+		c.writeConfiguration(grantPrefix+"a", 0)
+		follower := c.nodes[0]
+		if follower.Owns() {
+			follower = c.nodes[1]
 		}
-		c.assertInForce(other, 2, time.Second)
-		wantCurrent(t, "at rest", other, true)
-		other.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		c.assertConfigurationVersion(follower, 2, time.Second)
+		assertTableIsCurrent(t, "at rest", follower, true)
+		follower.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 		time.Sleep(10 * time.Second)
-		wantCurrent(t, "without the store", other, true)
-		c.configure(grantRow+"b", 0)
-		c.assertInForce(other, 3, 2*time.Second)
-		wantCurrent(t, "after a change that only the owner tells", other, true)
+		assertTableIsCurrent(t, "without the store", follower, true)
+		c.writeConfiguration(grantPrefix+"b", 0)
+		c.assertConfigurationVersion(follower, 3, 2*time.Second)
+		assertTableIsCurrent(t, "after a change that only the owner tells", follower, true)
 		for _, m := range c.nodes {
-			c.network.Cut(m.name, other.name)
-			c.network.Cut(other.name, m.name)
+			c.network.Cut(m.name, follower.name)
+			c.network.Cut(follower.name, m.name)
 		}
 		time.Sleep(3 * time.Second)
-		wantCurrent(t, "without the owner too", other, false)
-		other.caller.SetFault(nil)
+		assertTableIsCurrent(t, "without the owner too", follower, false)
+		follower.storeCaller.SetFault(nil)
 		time.Sleep(4 * time.Second)
-		wantCurrent(t, "with the store again", other, true)
+		assertTableIsCurrent(t, "with the store again", follower, true)
 	})
 }
 
-func wantCurrent(t *testing.T, when string, m *member, want bool) {
+func assertTableIsCurrent(t *testing.T, when string, m *member, want bool) {
 	t.Helper()
 	if got := m.TableIsCurrent(); got != want {
 		t.Errorf("%s: current %v, want %v", when, got, want)
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -9,12 +9,12 @@
 	"chutereach/rowstore/memory"
 )
 
-// evacuationBound is how long after an evacuation work may still begin in the data hall.
-const evacuationBound = 5 * time.Second
+// evacuationLimit is how long after an evacuation work may still begin in the data hall.
+const evacuationLimit = 5 * time.Second
 
-// heedEvacuations gives every node a new life that heeds evacuations within the bound.
-func (c *cell) heedEvacuations() {
-	c.evacuateWithin = evacuationBound
+// restartWithEvacuationLimit gives every node a new life that heeds evacuations within the bound.
+func (c *cell) restartWithEvacuationLimit() {
+	c.evacuateWithin = evacuationLimit
 	for _, m := range c.nodes {
 		c.stop(m)
 	}
@@ -26,19 +26,19 @@
 
 func (c *cell) evacuate(hall string) {
 	c.t.Helper()
-	put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: evacuateRow + hall}, Value: []byte("{}")}
+	put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: evacuatePrefix + hall}, Value: []byte("{}")}
 	if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
 		c.t.Fatal(err)
 	}
-	c.fleet.Evacuate(hall, evacuationBound)
+	c.fleet.Evacuate(hall, evacuationLimit)
 }
 
 // Whoever owns the shard after a data hall was evacuated, nothing begins there, and work goes on
 // elsewhere.
 func TestEveryOwnerHeedsEvacuations(t *testing.T) {
 	cases := []struct {
-		name string
-		harm func(c *cell, owner *member) (end func())
+		name   string
+		inject func(c *cell, owner *member) (restore func())
 	}{
 		{"the owner stays", func(*cell, *member) func() { return func() {} }},
 		{"the owner is killed at once", func(c *cell, owner *member) func() {
@@ -55,34 +55,34 @@
 			return func() {}
 		}},
 		{"the store turns the owner away", func(c *cell, owner *member) func() {
-			owner.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
-			return func() { owner.caller.SetFault(nil) }
+			owner.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+			return func() { owner.storeCaller.SetFault(nil) }
 		}},
 		{"no node reads the store", func(c *cell, _ *member) func() {
 			for _, m := range c.nodes {
-				m.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
+				m.storeCaller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
 			}
-			return func() { c.harmStore(nil) }
+			return func() { c.setStoreFault(nil) }
 		}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			inCell(t, 4, func(c *cell) {
-				c.heedEvacuations()
+			runInCell(t, 4, func(c *cell) {
+				c.restartWithEvacuationLimit()
 				owner := c.owner()
-				end := test.harm(c, owner)
+				restore := test.inject(c, owner)
 				c.evacuate(hallOf(0))
 				for i := range 30 { // some are refused
 					at := c.nodes[i%len(c.nodes)]
 					c.submit(at, fmt.Sprintf("job-%d", i))
 					time.Sleep(400 * time.Millisecond)
 				}
-				end()
+				restore()
 				time.Sleep(5 * time.Second)
 				if err := c.submit(c.nodes[1], "after"); err != nil {
 					t.Fatal(err)
 				}
-				c.await(c.nodes[1], "after", 3*time.Second)
+				c.awaitCompleted(c.nodes[1], "after", 3*time.Second)
 			})
 		})
 	}
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// BeLate makes a node believe that its timers are served late, as a process
+// AddTimerLag makes a node believe that its timers are served late, as a process
 // short of processor time does.
-func (n *Node) BeLate(late time.Duration) { n.lag.add(late) }
+func (n *Node) AddTimerLag(late time.Duration) { n.lag.add(late) }
 
 // MemberCount returns how many nodes the node knows, itself included.
 func (n *Node) MemberCount() int {
@@ -13,8 +13,8 @@
 	return len(n.members)
 }
 
-// CountsAsLost reports whether the node waits for nothing from another one.
-func (n *Node) CountsAsLost(name string) bool {
+// IsPeerLost reports whether the node waits for nothing from another one.
+func (n *Node) IsPeerLost(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peers[name].lost
@@ -35,8 +35,8 @@
 	}
 }
 
-// FollowedOwner returns the node that this one takes for the owner.
-func (n *Node) FollowedOwner() string {
+// KnownOwner returns the node that this one takes for the owner.
+func (n *Node) KnownOwner() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owner.Node
@@ -45,8 +45,8 @@
 // Relay returns the relay that the node is to ask, or nothing.
 func (n *Node) Relay() string { return n.orders.usable(time.Now()) }
 
-// OrdersRelayed reports whether the operator's orders come from a relay now.
-func (n *Node) OrdersRelayed() bool { return n.orders.relayed() }
+// UsesRelay reports whether the operator's orders come from a relay now.
+func (n *Node) UsesRelay() bool { return n.orders.relayed() }
 
 // Stopped reports whether the node's life is over.
 func (n *Node) Stopped() bool { return n.ctx.Err() != nil }
--- a/node/forget_test.go
+++ b/node/forget_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// longGone is how long a node is away until it is certainly forgotten.
-const longGone = 4 * time.Minute
+// forgottenAfter is how long a node is away until it is certainly forgotten.
+const forgottenAfter = 4 * time.Minute
 
-func (c *cell) wantMembers(want int) {
+func (c *cell) assertMemberCount(want int) {
 	c.t.Helper()
 	for _, m := range c.nodes {
 		if got := m.MemberCount(); got != want && !m.Stopped() {
@@ -18,38 +18,38 @@
 }
 
 // Nodes that are gone for good are forgotten by all, and known again if they come back.
-func TestNodesThatAreGoneAreForgotten(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
-		gone := c.another(c.owner())
-		c.stop(gone)
+func TestAbsentNodesAreForgotten(t *testing.T) {
+	runInCell(t, 4, func(c *cell) {
+		stopped := c.nodeOtherThan(c.owner())
+		c.stop(stopped)
 		time.Sleep(time.Minute)
-		c.wantMembers(4)
-		time.Sleep(longGone)
-		c.wantMembers(3)
-		c.start(gone)
+		c.assertMemberCount(4)
+		time.Sleep(forgottenAfter)
+		c.assertMemberCount(3)
+		c.start(stopped)
 		time.Sleep(5 * time.Second)
-		c.wantMembers(4)
+		c.assertMemberCount(4)
 	})
 }
 
 // A node that was cut off from its owner for so long that it was forgotten is known again once the
 // cut heals.
-func TestANodeThatWasForgottenRegistersAgain(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
-		away := c.another(c.owner())
+func TestForgottenNodeRegistersAgain(t *testing.T) {
+	runInCell(t, 4, func(c *cell) {
+		isolated := c.nodeOtherThan(c.owner())
 		for _, m := range c.nodes {
-			c.network.Cut(m.name, away.name)
-			c.network.Cut(away.name, m.name)
+			c.network.Cut(m.name, isolated.name)
+			c.network.Cut(isolated.name, m.name)
 		}
-		time.Sleep(longGone)
+		time.Sleep(forgottenAfter)
 		for _, m := range c.nodes {
-			c.network.Heal(m.name, away.name)
-			c.network.Heal(away.name, m.name)
+			c.network.Heal(m.name, isolated.name)
+			c.network.Heal(isolated.name, m.name)
 		}
 		time.Sleep(time.Minute)
-		c.wantMembers(4)
-		if away.FollowedOwner() != c.owner().name {
-			t.Errorf("it follows %q, want %s", away.FollowedOwner(), c.owner().name)
+		c.assertMemberCount(4)
+		if isolated.KnownOwner() != c.owner().name {
+			t.Errorf("it follows %q, want %s", isolated.KnownOwner(), c.owner().name)
 		}
 	})
 }
--- a/node/growth_test.go
+++ b/node/growth_test.go
@@ -11,11 +11,11 @@
 	"chutereach/rowstore/memory"
 )
 
-// mostKnown is how many members a node knows that never owned the shard: the succession and itself.
-const mostKnown = 14
+// maxKnownMembers is how many members a node knows that never owned the shard: the succession and itself.
+const maxKnownMembers = 14
 
-// rowsOfMembers counts the rows of members that a caller of the store was sent.
-func rowsOfMembers(page rowstore.Page) int {
+// countMemberRows counts the rows of members that a caller of the store was sent.
+func countMemberRows(page rowstore.Page) int {
 	count := 0
 	for _, row := range page.Rows {
 		if row.Table == "nodes" {
@@ -28,29 +28,29 @@
 // What a node reads of the others when it begins, and is told of them, does not grow with their
 // number; the owner knows them all.
 func TestWhatANodeKnowsOfOthersIsBounded(t *testing.T) {
-	inCell(t, largeCell, func(c *cell) {
+	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		if got := owner.MemberCount(); got != largeCell {
 			t.Errorf("the owner knows %d nodes, want %d", got, largeCell)
 		}
-		var anew *member
+		var restarted *member
 		for _, m := range c.nodes {
-			if m != owner && m.MemberCount() > mostKnown {
-				t.Errorf("%s knows %d nodes, want %d at most", m.name, m.MemberCount(), mostKnown)
+			if m != owner && m.MemberCount() > maxKnownMembers {
+				t.Errorf("%s knows %d nodes, want %d at most", m.name, m.MemberCount(), maxKnownMembers)
 			}
 			if m != owner {
-				anew = m
+				restarted = m
 			}
 		}
-		c.stop(anew)
-		c.start(anew)
+		c.stop(restarted)
+		c.start(restarted)
 		var read atomic.Int64
-		anew.caller.Observe(func(page rowstore.Page) { read.Add(int64(rowsOfMembers(page))) })
+		restarted.storeCaller.Observe(func(page rowstore.Page) { read.Add(int64(countMemberRows(page))) })
 		time.Sleep(5 * time.Second)
-		if got := read.Load(); got > mostKnown {
-			t.Errorf("%s has read %d rows of members, want %d at most", anew.name, got, mostKnown)
+		if got := read.Load(); got > maxKnownMembers {
+			t.Errorf("%s has read %d rows of members, want %d at most", restarted.name, got, maxKnownMembers)
 		}
-		if err := anew.Ready(); err != nil {
+		if err := restarted.Ready(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -58,7 +58,7 @@
 
 // Nodes that begin again write nothing: their rows stand.
 func TestNodesThatBeginAgainWriteNothing(t *testing.T) {
-	inCell(t, largeCell, func(c *cell) {
+	runInCell(t, largeCell, func(c *cell) {
 		written := c.store.RowsWritten("nodes")
 		for _, m := range c.nodes {
 			c.stop(m)
@@ -80,39 +80,39 @@
 // follow the next one all the same.
 func TestHowOftenNodesLookForAnOwner(t *testing.T) {
 	const (
-		ownerless = 4 * time.Second
-		// mostCalls is for looks 50, 100, 200, 400 and 800 ms after one another and each 0.8 s, for
+		outage = 4 * time.Second
+		// maxCalls is for looks 50, 100, 200, 400 and 800 ms after one another and each 0.8 s, for
 		// two tries to take the shard of six calls each, and for two calls of the feed.
-		mostCalls = 22
+		maxCalls = 22
 	)
-	inCell(t, largeCell, func(c *cell) {
+	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		for _, m := range c.nodes {
-			m.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Refuse: write} })
+			m.storeCaller.SetFault(func(write bool) memory.Fault { return memory.Fault{Refuse: write} })
 		}
 		c.stop(owner)
 		defer c.start(owner)
 		time.Sleep(100 * time.Millisecond)
-		before := map[*member]int{}
+		callsBefore := map[*member]int{}
 		for _, m := range c.nodes {
-			before[m] = m.caller.Calls()
+			callsBefore[m] = m.storeCaller.Calls()
 		}
-		time.Sleep(ownerless)
+		time.Sleep(outage)
 		far := 0
 		for _, m := range c.nodes {
-			if m != owner && m.caller.Calls()-before[m] <= mostCalls {
+			if m != owner && m.storeCaller.Calls()-callsBefore[m] <= maxCalls {
 				far++
 			}
 		}
-		if want := largeCell - mostKnown; far < want {
-			t.Errorf("%d nodes asked the store at most %d times in %v, want %d", far, mostCalls, ownerless, want)
+		if want := largeCell - maxKnownMembers; far < want {
+			t.Errorf("%d nodes asked the store at most %d times in %v, want %d", far, maxCalls, outage, want)
 		}
-		c.harmStore(nil)
+		c.setStoreFault(nil)
 		time.Sleep(3 * time.Second)
 		next := c.owner()
 		for _, m := range c.nodes {
-			if m != owner && m.FollowedOwner() != next.name {
-				t.Errorf("%s follows %q, want %s", m.name, m.FollowedOwner(), next.name)
+			if m != owner && m.KnownOwner() != next.name {
+				t.Errorf("%s follows %q, want %s", m.name, m.KnownOwner(), next.name)
 			}
 		}
 	})
@@ -120,24 +120,24 @@
 
 // A successor reads the workers while it reads the shard's rows, and every node soon follows it.
 func TestASuccessorReadsWorkersAndRowsAtOnce(t *testing.T) {
-	const slow = 600 * time.Millisecond // for each read
-	inCell(t, largeCell, func(c *cell) {
+	const readDelay = 600 * time.Millisecond // for each read
+	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		var mu sync.Mutex
-		var early []string
-		c.onListing(func(m *member) {
+		var listedBeforeLoad []string
+		c.setOnWorkerList(func(m *member) {
 			mu.Lock()
 			defer mu.Unlock()
 			if !m.ShardLoaded() {
-				early = append(early, m.name)
+				listedBeforeLoad = append(listedBeforeLoad, m.name)
 			}
 		})
 		for _, m := range c.nodes {
-			m.caller.SetFault(func(write bool) memory.Fault {
+			m.storeCaller.SetFault(func(write bool) memory.Fault {
 				if write {
 					return memory.Fault{}
 				}
-				return memory.Fault{Slow: slow}
+				return memory.Fault{Slow: readDelay}
 			})
 		}
 		c.stop(owner)
@@ -149,12 +149,12 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		if !slices.Contains(early, next.name) {
+		if !slices.Contains(listedBeforeLoad, next.name) {
 			t.Error("the rows were read before the workers")
 		}
 		for _, m := range c.nodes {
-			if m != owner && m.FollowedOwner() != next.name {
-				t.Errorf("%s follows %q, want %s", m.name, m.FollowedOwner(), next.name)
+			if m != owner && m.KnownOwner() != next.name {
+				t.Errorf("%s follows %q, want %s", m.name, m.KnownOwner(), next.name)
 			}
 		}
 	})
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -12,16 +12,16 @@
 // The regression of trouble-2 at the grown deployment: an owner that found no successor
 // held its transactions while it asked each of forty nodes.
 func TestAHandoverWithoutAnHeirHoldsNothingUp(t *testing.T) {
-	inCell(t, 9, func(c *cell) {
+	runInCell(t, 9, func(c *cell) {
 		time.Sleep(3 * time.Second)
 		owner := c.owner()
 		for _, m := range c.nodes {
 			if m != owner {
-				m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 300 * time.Millisecond} })
+				m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 300 * time.Millisecond} })
 			}
 		}
 		for i := range 10 {
-			owner.BeLate(time.Second)
+			owner.AddTimerLag(time.Second)
 			time.Sleep(200 * time.Millisecond)
 			begun := time.Now()
 			if err := c.submit(owner, fmt.Sprintf("job-%d", i)); err != nil {
@@ -34,20 +34,20 @@
 	})
 }
 
-// turnedAwayFor is for how long nobody may own a shard whose owner the store turns away, at the most:
+// handoverLimit is for how long nobody may own a shard whose owner the store turns away, at the most:
 // jobs of the shortest objective at hand have some 0.5 s to spare.
-const turnedAwayFor = 400 * time.Millisecond
+const handoverLimit = 400 * time.Millisecond
 
 // An owner that the store alone turns away hands over before urgent work is late.
 func TestAnOwnerThatTheStoreTurnsAwayHandsOver(t *testing.T) {
 	for name, fault := range map[string]memory.Fault{"refused": {Refuse: true}, "unanswered": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
-			inCell(t, 9, func(c *cell) {
+			runInCell(t, 9, func(c *cell) {
 				former := c.owner()
-				former.caller.SetFault(func(bool) memory.Fault { return fault })
-				time.Sleep(turnedAwayFor)
+				former.storeCaller.SetFault(func(bool) memory.Fault { return fault })
+				time.Sleep(handoverLimit)
 				if next := c.owner(); next == nil || next == former {
-					t.Errorf("nobody else owns the shard after %v", turnedAwayFor)
+					t.Errorf("nobody else owns the shard after %v", handoverLimit)
 				}
 			})
 		})
@@ -58,9 +58,9 @@
 func TestASlowStoreKeepsItsOwner(t *testing.T) {
 	for _, slow := range []time.Duration{30 * time.Millisecond, 120 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(slow.String(), func(t *testing.T) {
-			inCell(t, 9, func(c *cell) {
+			runInCell(t, 9, func(c *cell) {
 				former := c.owner()
-				c.harmStore(&memory.Fault{Slow: slow})
+				c.setStoreFault(&memory.Fault{Slow: slow})
 				for range 100 {
 					time.Sleep(50 * time.Millisecond)
 					if c.owner() != former {
@@ -74,8 +74,8 @@
 
 // The regression of own day 725: the store turned a successor away between its takeover
 // and its reading of the shard, and the successor went on trying for seven seconds.
-func TestAnHeirThatCannotLoadHandsOn(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+func TestSuccessorThatCannotLoadHandsOver(t *testing.T) {
+	runInCell(t, 4, func(c *cell) {
 		if err := c.submit(c.nodes[3], "before"); err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 				continue
 			}
 			taken := false
-			m.caller.SetFault(func(write bool) memory.Fault {
+			m.storeCaller.SetFault(func(write bool) memory.Fault {
 				refuse := taken
 				taken = taken || write
 				return memory.Fault{Refuse: refuse}
@@ -100,21 +100,21 @@
 			}
 			time.Sleep(20 * time.Millisecond) // a refusal takes no time in the bubble
 		}
-		c.await(c.nodes[3], "before", 10*time.Second)
-		c.await(c.nodes[3], "after", 10*time.Second)
+		c.awaitCompleted(c.nodes[3], "before", 10*time.Second)
+		c.awaitCompleted(c.nodes[3], "after", 10*time.Second)
 	})
 }
 
 // A shard that is large takes long to read, at this node and at any other: it is
 // not handed on for that (the regression of trouble-3 at cfg-bench-grown, where it
 // went from node to node for ten seconds).
-func TestALargeShardIsNotHandedOnWhileItIsRead(t *testing.T) {
-	inCell(t, 4, func(c *cell) {
+func TestLargeShardIsNotHandedOverWhileLoading(t *testing.T) {
+	runInCell(t, 4, func(c *cell) {
 		former := c.owner()
 		var mu sync.Mutex
 		for _, m := range c.nodes {
 			loading := 0
-			m.caller.SetFault(func(write bool) memory.Fault {
+			m.storeCaller.SetFault(func(write bool) memory.Fault {
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
@@ -141,6 +141,6 @@
 		if err := c.submit(c.nodes[3], "job"); err != nil {
 			t.Error(err)
 		}
-		c.await(c.nodes[3], "job", 5*time.Second)
+		c.awaitCompleted(c.nodes[3], "job", 5*time.Second)
 	})
 }
--- a/node/large_test.go
+++ b/node/large_test.go
@@ -9,14 +9,14 @@
 const (
 	// largeCell has more nodes than an owner sends a heartbeat to at each turn.
 	largeCell = 60
-	// serveEvery picks the nodes that are asked to serve.
-	serveEvery = 7
+	// checkEvery picks the nodes that are asked to serve.
+	checkEvery = 7
 )
 
 // Nodes that hear of their owner more seldom follow it all the same, serve callers, and
 // follow its successor after its loss.
-func TestFarNodesFollowTheOwner(t *testing.T) {
-	inCell(t, largeCell, func(c *cell) {
+func TestFarNodesFollowOwner(t *testing.T) {
+	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		if owner == nil {
 			t.Fatal("no node owns the shard")
@@ -25,21 +25,21 @@
 		if c.owner() != owner {
 			t.Errorf("%s lost the shard in a calm time", owner.name)
 		}
-		assertServes(t, c, nil, "calm")
+		assertServesCalls(t, c, nil, "calm")
 		c.stop(owner)
 		defer c.start(owner)
 		time.Sleep(3 * time.Second)
 		if c.owner() == nil {
 			t.Fatal("nobody owns the shard 3 s after its owner's loss")
 		}
-		assertServes(t, c, owner, "after")
+		assertServesCalls(t, c, owner, "after")
 	})
 }
 
-// assertServes hands a job in at some nodes, but not at one that is down.
-func assertServes(t *testing.T, c *cell, down *member, prefix string) {
+// assertServesCalls hands a job in at some nodes, but not at one that is down.
+func assertServesCalls(t *testing.T, c *cell, down *member, prefix string) {
 	t.Helper()
-	for i := 0; i < len(c.nodes); i += serveEvery {
+	for i := 0; i < len(c.nodes); i += checkEvery {
 		m := c.nodes[i]
 		if m == down {
 			continue
@@ -52,6 +52,6 @@
 			t.Errorf("%s: %v", m.name, err)
 			continue
 		}
-		c.await(m, id, 3*time.Second)
+		c.awaitCompleted(m, id, 3*time.Second)
 	}
 }
--- a/node/load_test.go
+++ b/node/load_test.go
@@ -12,12 +12,12 @@
 // A node that took the shard and may not read it, since the store fails, refuses
 // calls at once instead of holding them to their end.
 func TestCallsAreRefusedWhileTheShardCannotLoad(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
+	runInCell(t, 1, func(c *cell) {
 		m := c.nodes[0]
 		c.stop(m)
 		taken := false
 		c.start(m)
-		m.caller.SetFault(func(write bool) memory.Fault {
+		m.storeCaller.SetFault(func(write bool) memory.Fault {
 			refuse := taken
 			taken = taken || write && m.Owns()
 			return memory.Fault{Refuse: refuse || m.Owns()}
@@ -35,7 +35,7 @@
 		if took := time.Since(begun); took > 100*time.Millisecond {
 			t.Errorf("refused after %v", took)
 		}
-		m.caller.SetFault(nil)
+		m.storeCaller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if err := c.submit(m, "job"); err != nil {
 			t.Errorf("once the store is back: %v", err)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -33,16 +33,16 @@
 
 // cell is some nodes, their network, their store and the workers.
 type cell struct {
-	t       *testing.T
-	ctx     context.Context
-	network *peertest.Network
-	store   *memory.Store
-	fleet   *fleettest.Fleet
-	nodes   []*member
-	owns    func(bool) // told by nodes that start from now on; nil: nobody is
-	wide    int        // how many of the nodes that are added have wide links and strong machines
-	// listing, if given, is called when a node begins to read the workers.
-	listing atomic.Pointer[func(*member)]
+	t           *testing.T
+	ctx         context.Context
+	network     *peertest.Network
+	store       *memory.Store
+	fleet       *fleettest.Fleet
+	nodes       []*member
+	onOwnership func(bool) // told by nodes that start from now on; nil: nobody is
+	fastLinks   int        // how many of the nodes that are added have wide links and strong machines
+	// onWorkerList, if given, is called when a node begins to read the workers.
+	onWorkerList atomic.Pointer[func(*member)]
 	// evacuateWithin is for how long nodes that start from now on may start work in a data hall
 	// that is evacuated; 0: not bounded.
 	evacuateWithin time.Duration
@@ -51,34 +51,34 @@
 // member is one node.
 type member struct {
 	*node.Node
-	name    string
-	caller  *memory.Caller
-	servers *peer.PlainServer
-	kill    context.CancelFunc
-	done    chan struct{}
-	lives   int
-	// power and link are what its machine has, in cores and Mbit/s.
-	power, link float64
+	name        string
+	storeCaller *memory.Caller
+	servers     *peer.PlainServer
+	kill        context.CancelFunc
+	done        chan struct{}
+	starts      int
+	// cores and linkMbps are what its machine has, in cores and Mbit/s.
+	cores, linkMbps float64
 }
 
-// anybody is a caller without an account, let in by a table that is newer than any other.
-var anybody = routing.Caller{Version: math.MaxUint64}
+// anonymousCaller is a caller without an account, let in by a table that is newer than any other.
+var anonymousCaller = routing.Caller{Version: math.MaxUint64}
 
 // The member's calls are those of anybody.
 
 func (m *member) Submit(ctx context.Context, id string, record workload.Record) error {
-	return m.Node.Submit(ctx, anybody, id, record)
+	return m.Node.Submit(ctx, anonymousCaller, id, record)
 }
 
 func (m *member) State(ctx context.Context, id string) (workload.State, error) {
-	return m.Node.State(ctx, anybody, id)
+	return m.Node.State(ctx, anonymousCaller, id)
 }
 
 func (m *member) Pending(ctx context.Context, queue string) (int, error) {
-	return m.Node.Pending(ctx, anybody, queue)
+	return m.Node.Pending(ctx, anonymousCaller, queue)
 }
 
-func inCell(t *testing.T, count int, test func(*cell)) {
+func runInCell(t *testing.T, count int, test func(*cell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -105,13 +105,13 @@
 // start gives a node a new life.
 func (c *cell) start(m *member) {
 	ctx, kill := context.WithCancel(c.ctx)
-	m.kill, m.done, m.caller = kill, make(chan struct{}), c.store.Caller()
-	m.lives++
-	caller := m.caller
+	m.kill, m.done, m.storeCaller = kill, make(chan struct{}), c.store.Caller()
+	m.starts++
+	caller := m.storeCaller
 	platform := node.Platform{
 		Store: caller, Workers: c.fleet, Advisor: c.fleet,
 		FollowWorkers: func(ctx context.Context, changed func([]fleet.Worker)) {
-			if listing := c.listing.Load(); listing != nil {
+			if listing := c.onWorkerList.Load(); listing != nil {
 				(*listing)(m)
 			}
 			for ctx.Err() == nil {
@@ -123,15 +123,15 @@
 			var halls []string
 			reach.Current = func(version uint64, asOf clock.Instant) { evacuated(evacuation.NewView(halls, version, asOf)) }
 			rowstore.Follow(ctx, caller, "config", "", func(rows map[string]rowstore.Row) {
-				halls = hallsOf(rows)
-				changed(tableOf(rows))
+				halls = evacuatedHalls(rows)
+				changed(routingTable(rows))
 			}, reach)
 		},
 	}
 	config := node.Config{
-		Self:      node.Member{Node: m.name, Address: m.name, Hall: "h", Power: m.power, Link: m.link},
+		Self:      node.Member{Node: m.name, Address: m.name, Hall: "h", Power: m.cores, Link: m.linkMbps},
 		Scheduler: scheduler.Config{Shard: "main", Lease: fleettest.MostLease, KeepFinal: time.Minute, EvacuateWithin: c.evacuateWithin},
-		Owns:      c.owns,
+		Owns:      c.onOwnership,
 	}
 	m.Node = node.New(ctx, config, platform, peer.NewPlainClientOver(c.network.Dial(m.name)), node.NewMetrics(), zerolog.Nop())
 	m.servers = peer.NewPlainServer(c.network.Listen(m.name), m.Mux())
@@ -158,8 +158,8 @@
 func (c *cell) addNodes(count int) {
 	for i := range count {
 		m := &member{name: fmt.Sprintf("node-%d:80", i)} // HTTP adds port 80 to an address without one
-		if i < c.wide {
-			m.link, m.power = 1000, 1.6
+		if i < c.fastLinks {
+			m.linkMbps, m.cores = 1000, 1.6
 		}
 		c.nodes = append(c.nodes, m)
 		c.start(m)
@@ -179,8 +179,8 @@
 	return m.Submit(ctx, id, workload.Record{Request: request(), Queue: queue, Accepted: time.Now().UnixMilli()})
 }
 
-// await waits until a node shows a job as completed.
-func (c *cell) await(m *member, id string, within time.Duration) {
+// awaitCompleted waits until a node shows a job as completed.
+func (c *cell) awaitCompleted(m *member, id string, within time.Duration) {
 	c.t.Helper()
 	var state workload.State
 	var err error
@@ -203,25 +203,25 @@
 	return nil
 }
 
-// another returns a node other than one.
-func (c *cell) another(than *member) *member {
+// nodeOtherThan returns a node other than one.
+func (c *cell) nodeOtherThan(excluded *member) *member {
 	for _, m := range c.nodes {
-		if m != than {
+		if m != excluded {
 			return m
 		}
 	}
 	return nil
 }
 
-func TestEveryNodeServes(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestEveryNodeServesCalls(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		for i, m := range c.nodes {
 			id := fmt.Sprintf("job-%d", i)
 			if err := c.submit(m, id); err != nil {
 				t.Fatalf("%s: %v", m.name, err)
 			}
 			for _, other := range c.nodes {
-				c.await(other, id, 3*time.Second)
+				c.awaitCompleted(other, id, 3*time.Second)
 			}
 			if err := m.Ready(); err != nil {
 				t.Errorf("%s: %v", m.name, err)
@@ -239,11 +239,11 @@
 	})
 }
 
-// ways are how an owner can be lost, and what brings it back.
-var ways = []struct {
+// ownerLosses are how an owner can be lost, and what brings it back.
+var ownerLosses = []struct {
 	name   string
-	lose   func(*cell, *member)
-	within time.Duration // until another node owns the shard
+	inject func(*cell, *member)
+	limit  time.Duration // until another node owns the shard
 }{
 	{"it is killed", func(c *cell, m *member) { c.stop(m); c.start(m) }, 2 * time.Second},
 	{"its machine loses power", func(c *cell, m *member) {
@@ -251,71 +251,71 @@
 			c.network.Cut(m.name, other.name)
 			c.network.Cut(other.name, m.name)
 		}
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 	}, 3 * time.Second},
 	{"the store refuses it", func(_ *cell, m *member) {
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 	}, 3 * time.Second},
 	{"the store does not answer it", func(_ *cell, m *member) {
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 	}, 4 * time.Second},
 	{"it is short of processor time", func(_ *cell, m *member) {
 		time.Sleep(3 * time.Second) // a term is given time to settle
-		m.BeLate(time.Second)
+		m.AddTimerLag(time.Second)
 	}, time.Second},
 	{"it is stopped in order", func(c *cell, m *member) { m.Stop(c.ctx) }, 500 * time.Millisecond},
 }
 
 func TestAnOwnerIsSucceeded(t *testing.T) {
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
-			inCell(t, 3, func(c *cell) {
+	for _, loss := range ownerLosses {
+		t.Run(loss.name, func(t *testing.T) {
+			runInCell(t, 3, func(c *cell) {
 				former := c.owner()
 				if err := c.submit(former, "before"); err != nil {
 					t.Fatal(err)
 				}
-				life := former.Node
-				way.lose(c, former)
+				formerNode := former.Node
+				loss.inject(c, former)
 				begun := time.Now()
-				for c.owner() == nil || c.owner().Node == life {
-					if time.Since(begun) > way.within {
-						t.Fatalf("no successor within %v", way.within)
+				for c.owner() == nil || c.owner().Node == formerNode {
+					if time.Since(begun) > loss.limit {
+						t.Fatalf("no successor within %v", loss.limit)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
 				for _, m := range c.nodes {
 					if m != former {
-						c.await(m, "before", 12*time.Second)
+						c.awaitCompleted(m, "before", 12*time.Second)
 					}
 				}
 				if err := c.submit(c.owner(), "after"); err != nil {
 					t.Error(err)
 				}
-				c.await(c.owner(), "after", 5*time.Second)
+				c.awaitCompleted(c.owner(), "after", 5*time.Second)
 			})
 		})
 	}
 }
 
-func TestAJobIsServedThroughATakeover(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestJobSubmittedDuringTakeoverCompletes(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		former := c.owner()
-		var asked *member
+		var follower *member
 		for _, m := range c.nodes {
 			if m != former {
-				asked = m
+				follower = m
 			}
 		}
 		former.Stop(c.ctx)
-		if err := c.submit(asked, "job"); err != nil {
+		if err := c.submit(follower, "job"); err != nil {
 			t.Error(err)
 		}
-		c.await(asked, "job", 3*time.Second)
+		c.awaitCompleted(follower, "job", 3*time.Second)
 	})
 }
 
-func TestAllNodesStartAnewAtOnce(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestAllNodesRestartTogether(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		if err := c.submit(c.nodes[1], "job"); err != nil {
 			t.Fatal(err)
 		}
@@ -333,16 +333,16 @@
 		if took := time.Since(begun); took > time.Second {
 			t.Errorf("no owner for %v after the start", took)
 		}
-		c.await(c.nodes[2], "job", 12*time.Second)
+		c.awaitCompleted(c.nodes[2], "job", 12*time.Second)
 	})
 }
 
-func TestWithoutAnOwnerTheRefusalSaysWhenToComeBack(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
+func TestRefusalWithoutOwnerHasRetryAfter(t *testing.T) {
+	runInCell(t, 1, func(c *cell) {
 		m := c.nodes[0]
 		c.stop(m)
 		c.start(m)
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		begun := time.Now()
 		err := c.submit(m, "job")
 		var overloaded *scheduler.OverloadedError
@@ -352,7 +352,7 @@
 		if took := time.Since(begun); took > 1500*time.Millisecond {
 			t.Errorf("refused after %v", took)
 		}
-		m.caller.SetFault(nil)
+		m.storeCaller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
 			t.Errorf("a refused job was started %d times", got)
@@ -360,32 +360,32 @@
 	})
 }
 
-func TestANodeWithoutTheStoreHearsOfTheConfiguration(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
-		var apart *member
+func TestConfigurationReachesNodeWithoutStore(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
+		var disconnected *member
 		for _, m := range c.nodes {
 			if !m.Owns() {
-				apart = m
+				disconnected = m
 			}
 		}
-		apart.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		disconnected.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: "x"}, Value: []byte("x")}
 		if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if table, _ := apart.Routes(); table.Version != 2 {
+		if table, _ := disconnected.Routes(); table.Version != 2 {
 			t.Errorf("version %d is in force, want 2", table.Version)
 		}
 	})
 }
 
-func TestAllNodesShortOfProcessorTimeKeepTheirOwner(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestNoHandoverWhenAllNodesLackProcessorTime(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		owner := c.owner()
 		for range 100 {
 			for _, m := range c.nodes {
-				m.BeLate(time.Second)
+				m.AddTimerLag(time.Second)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/node/orders_test.go
+++ b/node/orders_test.go
@@ -12,41 +12,41 @@
 
 // The rows of a cell's store by which its operator speaks.
 
-// onListing has f called when a node begins to read the workers.
-func (c *cell) onListing(f func(*member)) { c.listing.Store(&f) }
+// setOnWorkerList has f called when a node begins to read the workers.
+func (c *cell) setOnWorkerList(f func(*member)) { c.onWorkerList.Store(&f) }
 
-// evacuateRow begins the name of a row that evacuates the data hall after it.
-const evacuateRow = "evacuate/"
+// evacuatePrefix begins the name of a row that evacuates the data hall after it.
+const evacuatePrefix = "evacuate/"
 
-// hallsOf returns the data halls that rows evacuate.
-func hallsOf(rows map[string]rowstore.Row) []string {
+// evacuatedHalls returns the data halls that rows evacuate.
+func evacuatedHalls(rows map[string]rowstore.Row) []string {
 	var halls []string
 	for name := range rows {
-		if hall, found := strings.CutPrefix(name, evacuateRow); found {
+		if hall, found := strings.CutPrefix(name, evacuatePrefix); found {
 			halls = append(halls, hall)
 		}
 	}
 	return halls
 }
 
-// tableOf is the table of routes that the rows of a configuration come to: a version for
+// routingTable is the table of routes that the rows of a configuration come to: a version for
 // each row, and a route for each routeBytes in them, one at least.
-func tableOf(rows map[string]rowstore.Row) routing.Table {
+func routingTable(rows map[string]rowstore.Row) routing.Table {
 	table := routing.Table{Version: uint64(1 + len(rows)), Routes: []routing.Route{{Host: "h", Prefix: "/p/", Queue: queue}}}
 	size := 0
 	for _, row := range rows {
 		size += len(row.Value)
 	}
 	for i := range size / routeBytes {
-		more := queue
-		more.Name, more.Priority = fmt.Sprintf("r-%07d", i), 1
-		more.Advice = workload.AdvicePolicy{
+		extraQueue := queue
+		extraQueue.Name, extraQueue.Priority = fmt.Sprintf("r-%07d", i), 1
+		extraQueue.Advice = workload.AdvicePolicy{
 			Decision: 440 * time.Millisecond, Each: 6200 * time.Microsecond, Valid: 1500 * time.Millisecond,
 		}
-		route := routing.Route{Host: fmt.Sprintf("host%d.example", i%5), Prefix: fmt.Sprintf("/path%08d/", i), Queue: more}
+		route := routing.Route{Host: fmt.Sprintf("host%d.example", i%5), Prefix: fmt.Sprintf("/path%08d/", i), Queue: extraQueue}
 		table.Routes = append(table.Routes, route)
 	}
-	return withAccounts(table, rows)
+	return addAccounts(table, rows)
 }
 
 // routeBytes is what a route takes in an answer of the store, as measured: 1,081,758
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// relayCell is a data hall with relays, wideNodes of its nodes have a wide link.
-	relayCell = 50
-	wideNodes = 16
-	// appliedWithin is the shortest time at hand in which a configuration must be in force.
-	appliedWithin = 2 * time.Second
+	// relayCellSize is a data hall with relays, wideNodes of its nodes have a wide link.
+	relayCellSize = 50
+	fastLinkNodes = 16
+	// applyLimit is the shortest time at hand in which a configuration must be in force.
+	applyLimit = 2 * time.Second
 )
 
-// inRelayCell runs a test in a large data hall once its relays are known.
-func inRelayCell(t *testing.T, test func(c *cell, relays, served []*member)) {
+// runInRelayCell runs a test in a large data hall once its relays are known.
+func runInRelayCell(t *testing.T, test func(c *cell, relays, served []*member)) {
 	t.Helper()
-	inCell(t, 0, func(c *cell) {
-		c.wide = wideNodes
-		c.addNodes(relayCell)
+	runInCell(t, 0, func(c *cell) {
+		c.fastLinks = fastLinkNodes
+		c.addNodes(relayCellSize)
 		time.Sleep(10 * time.Second)
 		var relays, served []*member
 		for _, m := range c.nodes {
@@ -36,8 +36,8 @@
 				}
 			}
 		}
-		if len(relays) == 0 || len(served) < relayCell/2 {
-			t.Fatalf("%d relays serve %d of %d nodes", len(relays), len(served), relayCell)
+		if len(relays) == 0 || len(served) < relayCellSize/2 {
+			t.Fatalf("%d relays serve %d of %d nodes", len(relays), len(served), relayCellSize)
 		}
 		test(c, relays, served)
 	})
@@ -46,20 +46,20 @@
 // Nodes that have a relay ask the store nothing while nothing happens, and a change of the
 // configuration comes to them from their relay.
 func TestRelaysSpareTheStore(t *testing.T) {
-	inRelayCell(t, func(c *cell, _, served []*member) {
+	runInRelayCell(t, func(c *cell, _, served []*member) {
 		calls := map[*member]int{}
 		var rows atomic.Int64
 		for _, m := range served {
-			calls[m] = m.caller.Calls()
-			m.caller.Observe(func(page rowstore.Page) { rows.Add(int64(len(page.Rows))) })
+			calls[m] = m.storeCaller.Calls()
+			m.storeCaller.Observe(func(page rowstore.Page) { rows.Add(int64(len(page.Rows))) })
 		}
 		time.Sleep(10 * time.Second)
-		c.configure("a change", 40)
+		c.writeConfiguration("a change", 40)
 		for _, m := range c.nodes {
-			c.assertInForce(m, 2, appliedWithin/4)
+			c.assertConfigurationVersion(m, 2, applyLimit/4)
 		}
 		for _, m := range served {
-			if asked := m.caller.Calls() - calls[m]; asked > 0 {
+			if asked := m.storeCaller.Calls() - calls[m]; asked > 0 {
 				t.Errorf("%s asked the store %d times", m.name, asked)
 			}
 		}
@@ -72,8 +72,8 @@
 // Whatever becomes of its relay, and at any moment, a node has a change of the configuration in time.
 func TestAChangeReachesNodesWhoseRelayFails(t *testing.T) {
 	cases := []struct {
-		name string
-		harm func(c *cell, relay *member) (end func())
+		name   string
+		inject func(c *cell, relay *member) (restore func())
 	}{
 		{"is killed", func(c *cell, relay *member) func() {
 			c.stop(relay)
@@ -90,36 +90,36 @@
 			}
 		}},
 		{"is turned away by the store", func(_ *cell, relay *member) func() {
-			relay.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
-			return func() { relay.caller.SetFault(nil) }
+			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+			return func() { relay.storeCaller.SetFault(nil) }
 		}},
 		{"is not answered by the store", func(_ *cell, relay *member) func() {
-			relay.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
-			return func() { relay.caller.SetFault(nil) }
+			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+			return func() { relay.storeCaller.SetFault(nil) }
 		}},
 	}
 	for _, test := range cases {
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
 			t.Run(test.name+", a change "+after.String()+" later", func(t *testing.T) {
-				inRelayCell(t, func(c *cell, relays, served []*member) {
-					var ends []func()
+				runInRelayCell(t, func(c *cell, relays, served []*member) {
+					var restores []func()
 					for _, relay := range relays {
-						ends = append(ends, test.harm(c, relay))
+						restores = append(restores, test.inject(c, relay))
 					}
 					time.Sleep(after)
-					c.configure("a change", 40)
+					c.writeConfiguration("a change", 40)
 					changed := time.Now()
 					for _, m := range served {
-						c.assertInForce(m, 2, appliedWithin-time.Since(changed))
+						c.assertConfigurationVersion(m, 2, applyLimit-time.Since(changed))
 					}
-					for _, end := range ends {
-						end()
+					for _, restore := range restores {
+						restore()
 					}
 					time.Sleep(time.Second)
-					c.configure("another change", 40)
+					c.writeConfiguration("another change", 40)
 					changed = time.Now()
 					for _, m := range c.nodes {
-						c.assertInForce(m, 3, appliedWithin-time.Since(changed))
+						c.assertConfigurationVersion(m, 3, applyLimit-time.Since(changed))
 					}
 				})
 			})
@@ -128,22 +128,22 @@
 }
 
 // A takeover sends nobody back to the store.
-func TestRelaysOutliveTheirOwner(t *testing.T) {
-	inRelayCell(t, func(c *cell, relays, served []*member) {
+func TestTakeoverKeepsRelays(t *testing.T) {
+	runInRelayCell(t, func(c *cell, relays, served []*member) {
 		owner := c.owner()
 		if slices.Contains(relays, owner) || slices.Contains(served, owner) {
 			t.Fatal("the owner takes part")
 		}
 		calls := map[*member]int{}
 		for _, m := range served {
-			calls[m] = m.caller.Calls()
+			calls[m] = m.storeCaller.Calls()
 		}
 		owner.Stop(c.ctx)
 		c.stop(owner)
 		time.Sleep(8 * time.Second)
 		next := c.owner()
 		for _, m := range served {
-			if asked := m.caller.Calls() - calls[m]; asked > 0 && m != next && m.Relay() != "" {
+			if asked := m.storeCaller.Calls() - calls[m]; asked > 0 && m != next && m.Relay() != "" {
 				t.Errorf("%s asked the store %d times", m.name, asked)
 			}
 		}
@@ -152,15 +152,15 @@
 }
 
 // Nodes with a relay hear of evacuations, and take the shard over when all others are gone.
-func TestNodesWithARelayCanOwn(t *testing.T) {
-	inRelayCell(t, func(c *cell, _, served []*member) {
+func TestNodesWithRelayTakeOver(t *testing.T) {
+	runInRelayCell(t, func(c *cell, _, served []*member) {
 		for _, m := range c.nodes {
 			if !slices.Contains(served, m) {
 				c.stop(m)
 			}
 		}
 		time.Sleep(6 * time.Second)
-		if owner := c.owner(); owner == nil || owner.Relay() != "" && owner.OrdersRelayed() {
+		if owner := c.owner(); owner == nil || owner.Relay() != "" && owner.UsesRelay() {
 			t.Error("nobody owns the shard, or an owner has its orders from a relay")
 		}
 		for _, m := range c.nodes {
--- a/node/relayplan_test.go
+++ b/node/relayplan_test.go
@@ -9,12 +9,12 @@
 	"chutereach/evacuation"
 )
 
-// hallOfMembers returns members of one data hall, some with wide links.
-func hallOfMembers(hall string, wide, narrow int, link float64) []Member {
+// hallMembers returns members of one data hall, some with wide links.
+func hallMembers(hall string, fast, slow int, link float64) []Member {
 	var members []Member
-	for i := range wide + narrow {
+	for i := range fast + slow {
 		member := Member{Node: fmt.Sprintf("%s-%03d", hall, i), Address: fmt.Sprintf("%s-%03d:1", hall, i), Hall: hall, Power: 0.2, Link: 20}
-		if i < wide {
+		if i < fast {
 			member.Power, member.Link = 1.6, link
 		}
 		members = append(members, member)
@@ -22,12 +22,12 @@
 	return members
 }
 
-func TestRelaysOfDataHalls(t *testing.T) {
+func TestPlanRelays(t *testing.T) {
 	cases := []struct {
-		name         string
-		wide, narrow int
-		link         float64
-		served       int // nodes that have a relay, the succession apart
+		name       string
+		fast, slow int
+		link       float64
+		served     int // nodes that have a relay, the succession apart
 	}{
 		{"a small hall", 3, 12, 1000, 0},
 		{"no wide links", 0, 90, 1000, 0},
@@ -38,7 +38,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			members := hallOfMembers("h", test.wide, test.narrow, test.link)
+			members := hallMembers("h", test.fast, test.slow, test.link)
 			slices.SortFunc(members, Member.compare)
 			plan := planRelays(members, members[0].Node, func(Member) bool { return true })
 			assigned := plan.relays
@@ -47,8 +47,8 @@
 				followers[relay]++
 			}
 			for _, member := range members {
-				if most := followersOf(member); followers[member.Address] > most {
-					t.Errorf("%s serves %d nodes, want %d at most", member.Node, followers[member.Address], most)
+				if limit := followersOf(member); followers[member.Address] > limit {
+					t.Errorf("%s serves %d nodes, want %d at most", member.Node, followers[member.Address], limit)
 				}
 				if _, has := assigned[member.Node]; has && followers[member.Address] > 0 {
 					t.Errorf("%s is a relay and has one", member.Node)
@@ -66,7 +66,7 @@
 }
 
 // A relay answers at once only with what is newer than its caller's.
-func TestWhatIsNewsForANode(t *testing.T) {
+func TestOrdersCallLacks(t *testing.T) {
 	view := evacuation.NewView([]string{"north"}, 7, clock.Now())
 	for _, test := range []struct {
 		name string
@@ -86,10 +86,10 @@
 
 // Relays serve nodes of their own data hall once they are ready, and stay as they are while nobody
 // comes or goes.
-func TestRelaysStayInTheirHall(t *testing.T) {
+func TestPlanRelaysStaysInHallAndIsStable(t *testing.T) {
 	var members []Member
 	for _, hall := range []string{"a", "b", "c"} {
-		members = append(members, hallOfMembers(hall, 4, 40, 1000)...)
+		members = append(members, hallMembers(hall, 4, 40, 1000)...)
 	}
 	slices.SortFunc(members, Member.compare)
 	ready := func(member Member) bool { return member.Node != "b-000" }
--- a/node/return_test.go
+++ b/node/return_test.go
@@ -11,20 +11,20 @@
 // All nodes that come back at once know each other from the store, and only the first in
 // the order of succession takes the shard: each takeover reads it whole.
 func TestOneNodeTakesTheShardWhenAllComeBack(t *testing.T) {
-	inCell(t, 24, func(c *cell) {
+	runInCell(t, 24, func(c *cell) {
 		c.submit(c.nodes[0], "before")
 		for _, m := range c.nodes {
 			c.stop(m)
 		}
-		var taken atomic.Int64
-		c.owns = func(now bool) {
-			if now {
-				taken.Add(1)
+		var takeovers atomic.Int64
+		c.onOwnership = func(owns bool) {
+			if owns {
+				takeovers.Add(1)
 			}
 		}
 		for i, m := range c.nodes {
 			c.start(m)
-			m.caller.SetFault(func(write bool) memory.Fault {
+			m.storeCaller.SetFault(func(write bool) memory.Fault {
 				if write {
 					return memory.Fault{Return: 100 * time.Millisecond}
 				}
@@ -32,7 +32,7 @@
 			})
 		}
 		time.Sleep(2 * time.Second)
-		if got := taken.Load(); got != 1 {
+		if got := takeovers.Load(); got != 1 {
 			t.Errorf("the shard was taken %d times, want once", got)
 		}
 		for _, m := range c.nodes[:3] {
@@ -40,6 +40,6 @@
 				t.Errorf("%s: %v", m.name, err)
 			}
 		}
-		c.await(c.nodes[5], "before", 3*time.Second)
+		c.awaitCompleted(c.nodes[5], "before", 3*time.Second)
 	})
 }
--- a/node/speed_test.go
+++ b/node/speed_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSpeedMeter(t *testing.T) {
-	const usual = 10 * time.Microsecond
+	const baseline = 10 * time.Microsecond
 	repeat := func(took time.Duration, times int) []time.Duration {
 		list := make([]time.Duration, times)
 		for i := range list {
@@ -19,13 +19,13 @@
 		samples []time.Duration
 		slow    bool
 	}{
-		{"too few samples", repeat(usual, speedSamples-1), false},
-		{"as ever", repeat(usual, 20), false},
-		{"some are interrupted", append(repeat(usual, 10), time.Millisecond, 2*usual, time.Millisecond, usual, time.Millisecond), false},
-		{"a little slower", append(repeat(usual, 10), repeat(3*usual/2, 10)...), false},
-		{"slow, but not for long enough", append(repeat(usual, 10), repeat(5*usual, speedSamples-1)...), false},
-		{"slow", append(repeat(usual, 10), repeat(5*usual, speedSamples)...), true},
-		{"slow and well again", append(repeat(5*usual, 10), usual), false},
+		{"too few samples", repeat(baseline, speedSamples-1), false},
+		{"as ever", repeat(baseline, 20), false},
+		{"some are interrupted", append(repeat(baseline, 10), time.Millisecond, 2*baseline, time.Millisecond, baseline, time.Millisecond), false},
+		{"a little slower", append(repeat(baseline, 10), repeat(3*baseline/2, 10)...), false},
+		{"slow, but not for long enough", append(repeat(baseline, 10), repeat(5*baseline, speedSamples-1)...), false},
+		{"slow", append(repeat(baseline, 10), repeat(5*baseline, speedSamples)...), true},
+		{"slow and well again", append(repeat(5*baseline, 10), baseline), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := &speedMeter{}
--- a/node/table_test.go
+++ b/node/table_test.go
@@ -17,14 +17,14 @@
 	}
 }
 
-func TestATableIsFetchedOnlyIfNothingBringsIt(t *testing.T) {
+func TestMayFetch(t *testing.T) {
 	now := time.Now()
-	late := now.Add(fetchAfter)
+	fetchTime := now.Add(fetchAfter)
 	t.Run("the store has time to begin", func(t *testing.T) {
 		var e tableExchange
 		assertMayFetch(t, &e, now, false, false)
-		assertMayFetch(t, &e, late.Add(-1), false, false)
-		assertMayFetch(t, &e, late, false, true)
+		assertMayFetch(t, &e, fetchTime.Add(-1), false, false)
+		assertMayFetch(t, &e, fetchTime, false, true)
 	})
 	t.Run("a store that does not answer is not waited for", func(t *testing.T) {
 		assertMayFetch(t, &tableExchange{}, now, true, true)
--- a/node/touch_test.go
+++ b/node/touch_test.go
@@ -7,19 +7,19 @@
 	"chutereach/rowstore/memory"
 )
 
-// touchWithin is how soon after the end of trouble at the store every node must be up to date
+// recoveryLimit is how soon after the end of trouble at the store every node must be up to date
 // again: a call of the feed that began just before the end is given up after 2.5 s and made
 // again after 0.1 s. The shortest time that a deployment at hand allows is 3 s; these cases take
 // 0.01 to 1.98 s.
-const touchWithin = 2700 * time.Millisecond
+const recoveryLimit = 2700 * time.Millisecond
 
 // Soon after the store is well again every node has the newest configuration and an owner that
 // answers, whatever its trouble was and for however long.
-func TestNodesAreInTouchSoonAfterTheStoresTrouble(t *testing.T) {
+func TestNodesRecoverAfterStoreFault(t *testing.T) {
 	cases := []struct {
-		name   string
-		fault  memory.Fault
-		forget bool // and its history is dropped meanwhile
+		name        string
+		fault       memory.Fault
+		dropHistory bool // and its history is dropped meanwhile
 	}{
 		{"refuses", memory.Fault{Refuse: true}, false},
 		{"is silent", memory.Fault{Silent: true}, false},
@@ -29,21 +29,21 @@
 		{"is silent, and forgets its history", memory.Fault{Silent: true}, true},
 	}
 	for _, test := range cases {
-		for _, lasts := range []time.Duration{700 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
-			t.Run(test.name+" for "+lasts.String(), func(t *testing.T) {
-				inCell(t, 12, func(c *cell) {
-					c.harmStore(&test.fault)
-					time.Sleep(lasts / 2)
-					c.configure("while it is in trouble", 40)
-					if test.forget {
+		for _, duration := range []time.Duration{700 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
+			t.Run(test.name+" for "+duration.String(), func(t *testing.T) {
+				runInCell(t, 12, func(c *cell) {
+					c.setStoreFault(&test.fault)
+					time.Sleep(duration / 2)
+					c.writeConfiguration("while it is in trouble", 40)
+					if test.dropHistory {
 						c.store.ForgetHistory()
 					}
-					time.Sleep(lasts / 2)
-					c.harmStore(nil)
+					time.Sleep(duration / 2)
+					c.setStoreFault(nil)
 					ended := time.Now()
 					for _, m := range c.nodes {
-						c.assertInForce(m, 2, touchWithin-time.Since(ended))
-						c.assertAnswered(m, touchWithin-time.Since(ended))
+						c.assertConfigurationVersion(m, 2, recoveryLimit-time.Since(ended))
+						c.assertOwnerAnswers(m, recoveryLimit-time.Since(ended))
 					}
 				})
 			})
@@ -51,19 +51,19 @@
 	}
 }
 
-// harmStore gives every node's way to the store a fault; nil ends it.
-func (c *cell) harmStore(fault *memory.Fault) {
+// setStoreFault gives every node's way to the store a fault; nil ends it.
+func (c *cell) setStoreFault(fault *memory.Fault) {
 	for _, m := range c.nodes {
 		if fault == nil {
-			m.caller.SetFault(nil)
+			m.storeCaller.SetFault(nil)
 			continue
 		}
-		m.caller.SetFault(func(bool) memory.Fault { return *fault })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return *fault })
 	}
 }
 
-// assertAnswered waits until a call that only the owner can answer is answered at a node.
-func (c *cell) assertAnswered(m *member, within time.Duration) {
+// assertOwnerAnswers waits until a call that only the owner can answer is answered at a node.
+func (c *cell) assertOwnerAnswers(m *member, within time.Duration) {
 	c.t.Helper()
 	var err error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
--- a/node/transfer_test.go
+++ b/node/transfer_test.go
@@ -10,12 +10,12 @@
 	"chutereach/rowstore/memory"
 )
 
-// narrowLink is the narrowest link of the deployments at hand, 10 Mbit/s.
-const narrowLink = 10_000_000 / 8
+// slowLinkRate is the narrowest link of the deployments at hand, 10 Mbit/s.
+const slowLinkRate = 10_000_000 / 8
 
-// narrow gives every node but the owner a narrow link, for the store and for other nodes
+// limitLinks gives every node but the owner a limitLinks link, for the store and for other nodes
 // together, and returns the links by node.
-func (c *cell) narrow(rate int) map[*member]*peertest.Link {
+func (c *cell) limitLinks(rate int) map[*member]*peertest.Link {
 	links := map[*member]*peertest.Link{}
 	for _, m := range c.nodes {
 		if m.Owns() {
@@ -23,13 +23,13 @@
 		}
 		links[m] = peertest.NewLink(rate)
 		c.network.SetLink(m.name, links[m])
-		m.caller.SetLink(links[m].Carry)
+		m.storeCaller.SetLink(links[m].Carry)
 	}
 	return links
 }
 
-// configure writes a configuration of so many routes more.
-func (c *cell) configure(name string, routes int) {
+// writeConfiguration writes a configuration of so many routes more.
+func (c *cell) writeConfiguration(name string, routes int) {
 	c.t.Helper()
 	put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: name}, Value: make([]byte, routes*routeBytes)}
 	if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// assertInForce waits until a version is in force at a node.
-func (c *cell) assertInForce(m *member, version uint64, within time.Duration) {
+// assertConfigurationVersion waits until a version is in force at a node.
+func (c *cell) assertConfigurationVersion(m *member, version uint64, within time.Duration) {
 	c.t.Helper()
 	var got uint64
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -53,23 +53,23 @@
 // The incident of 2026-12-02 (CONFIG): a configuration that had grown to 4,245 routes came
 // to nodes with narrow links piece by piece, from the store and, anew with each heartbeat,
 // from the owner, and no transfer ended within its limit.
-func TestALargeConfigurationReachesNarrowNodes(t *testing.T) {
+func TestLargeConfigurationOverSlowLinks(t *testing.T) {
 	for _, routes := range []int{1400, 4200, 10_000, 25_000} {
 		t.Run(fmt.Sprintf("%d routes", routes), func(t *testing.T) {
-			inCell(t, 4, func(c *cell) {
-				links := c.narrow(narrowLink)
+			runInCell(t, 4, func(c *cell) {
+				links := c.limitLinks(slowLinkRate)
 				before := map[*member]int{}
 				for m, link := range links {
 					before[m] = link.Carried()
 				}
-				c.configure("x", routes)
+				c.writeConfiguration("x", routes)
 				copyBytes := routes * routeBytes
-				needs := time.Duration(copyBytes) * time.Second / narrowLink
-				end := time.Now().Add(13*needs/10 + 200*time.Millisecond)
+				transferTime := time.Duration(copyBytes) * time.Second / slowLinkRate
+				end := time.Now().Add(13*transferTime/10 + 200*time.Millisecond)
 				for m := range links {
-					c.assertInForce(m, 2, time.Until(end))
+					c.assertConfigurationVersion(m, 2, time.Until(end))
 				}
-				time.Sleep(needs) // for what is still on its way
+				time.Sleep(transferTime) // for what is still on its way
 				for m, link := range links {
 					if got := link.Carried() - before[m]; got > 11*copyBytes/10+64<<10 {
 						t.Errorf("the link of %s carried %d bytes for a copy of %d", m.name, got, copyBytes)
@@ -82,17 +82,17 @@
 
 // A node that the store turns away has the configuration from another node, however
 // narrow its link is.
-func TestALargeConfigurationIsFetchedOverANarrowLink(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
-		links := c.narrow(narrowLink)
+func TestLargeConfigurationFetchedOverSlowLink(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
+		links := c.limitLinks(slowLinkRate)
 		for m := range links {
-			m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+			m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		}
 		time.Sleep(3 * time.Second) // until the calls of the feeds that are open have ended
-		c.configure("x", 10_000)
+		c.writeConfiguration("x", 10_000)
 		for m, link := range links {
 			before := link.Carried()
-			c.assertInForce(m, 2, 3*time.Second)
+			c.assertConfigurationVersion(m, 2, 3*time.Second)
 			time.Sleep(2 * time.Second) // for what is still on its way
 			if got, most := link.Carried()-before, 10_000*routeBytes; got > most {
 				t.Errorf("the link of %s carried %d bytes, want %d at most", m.name, got, most)
@@ -103,8 +103,8 @@
 
 // A shard of any size can be read by its next owner: as long as rows come in, the reading
 // goes on.
-func TestAShardIsReadOverANarrowLink(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestShardLoadsOverSlowLink(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		const jobs, bytes = 2000, 4000
 		for first := 0; first < jobs; first += rowstore.MaxEntries {
 			var puts []rowstore.Put
@@ -117,7 +117,7 @@
 			}
 		}
 		former := c.owner()
-		c.narrow(narrowLink)
+		c.limitLinks(slowLinkRate)
 		c.stop(former)
 		defer c.start(former)
 		begun := time.Now()
