--- a/node/beat_test.go
+++ b/node/beat_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A node waits a little longer the more seldom it hears of its owner, and never so long that it would
-// count as unready.
+// The heartbeat timeout grows with the heartbeat interval, but stays below the time after which the
+// node reports itself unready.
 func TestWhenAHeartbeatIsOverdue(t *testing.T) {
 	for _, test := range []struct{ interval, want time.Duration }{
 		{beatEvery, beatEvery + beatLate},
@@ -15,7 +15,7 @@
 		{farSlowest, farSlowest + farSlowest/8},
 	} {
 		if got := overdue(test.interval); got != test.want || got >= unreadyAfter {
-			t.Errorf("overdue after %v if the next comes in %v, want %v", got, test.interval, test.want)
+			t.Errorf("timeout %v for a heartbeat interval of %v, want %v", got, test.interval, test.want)
 		}
 	}
 }
@@ -27,14 +27,14 @@
 			period := farPeriod(far)
 			between := time.Duration(period) * beatEvery
 			if between > farSlowest {
-				t.Errorf("a node hears of its owner each %v, want each %v at least", between, farSlowest)
+				t.Errorf("heartbeat interval %v, want %v at most", between, farSlowest)
 			}
 			if between >= unreadyAfter/2 {
-				t.Errorf("one lost heartbeat in %v would make a node unready", between)
+				t.Errorf("heartbeat interval %v: the loss of one heartbeat would make a node unready", between)
 			}
 			perSecond := float64(far) / between.Seconds()
 			if perSecond > farBeats && between < farSlowest-beatEvery {
-				t.Errorf("%.0f heartbeats a second, want %d at most", perSecond, farBeats)
+				t.Errorf("%.0f heartbeats/s, want %d at most", perSecond, farBeats)
 			}
 		})
 	}
--- a/node/caller_test.go
+++ b/node/caller_test.go
@@ -12,14 +12,14 @@
 	"chutereach/rowstore/memory"
 )
 
-// Rows of a configuration that grant an account or take it away; each is a version.
+// Name prefixes of configuration rows that grant or revoke an account. Each row adds one to the version.
 const (
 	grantPrefix  = "account/"
 	revokePrefix = "revoke/"
 )
 
-// addAccounts returns the table with a keyed route and the accounts that rows name. Each
-// account holds the key of its name.
+// addAccounts adds the accounts that the rows grant and do not revoke to the table, and a route that
+// requires a key. The key of an account is its name.
 func addAccounts(table routing.Table, rows map[string]rowstore.Row) routing.Table {
 	for name := range rows {
 		accountName, granted := strings.CutPrefix(name, grantPrefix)
@@ -38,7 +38,7 @@
 	return table
 }
 
-// identify returns the caller with a key by the table of a node.
+// identify returns the caller that the node's routing table finds for a key.
 func (c *cell) identify(m *member, key string) routing.Caller {
 	c.t.Helper()
 	table, _ := m.Routes()
@@ -53,8 +53,7 @@
 	return caller
 }
 
-// A node that has missed a change of the configuration does not serve by the old one: the
-// owner looks again at each call that comes with an older table.
+// A revoked key must not be accepted through a node whose routing table is older than the owner's.
 func TestOwnerRechecksCallersOfStaleTables(t *testing.T) {
 	runInCell(t, 3, func(c *cell) {
 		c.writeConfiguration(grantPrefix+"a", 0)
@@ -64,7 +63,7 @@
 		}
 		staleCaller := c.identify(c.owner(), "a")
 		if _, err := c.nodes[2].Node.State(c.ctx, staleCaller, "unknown"); isKeyError(err) {
-			t.Errorf("a caller whose key is there: %v", err)
+			t.Errorf("state with a valid key: %v", err)
 		}
 		c.writeConfiguration(revokePrefix+"a", 0)
 		c.assertConfigurationVersion(c.owner(), 4, time.Second)
@@ -82,7 +81,7 @@
 				t.Errorf("%s, pending: %v, want KeyError", m.name, err)
 			}
 			if _, err := m.Node.Pending(c.ctx, c.identify(m, "b"), "keyed"); err != nil {
-				t.Errorf("%s, pending for an account that is there: %v", m.name, err)
+				t.Errorf("%s, pending with a valid key: %v", m.name, err)
 			}
 		}
 	})
@@ -93,8 +92,8 @@
 	return errors.As(err, &keyError)
 }
 
-// A node knows whether its table is the newest: from the store, and without it from the
-// owner's heartbeats. One that hears neither turns nobody away.
+// A routing table counts as current while the store or the owner's heartbeats confirm it, and no
+// longer once the node reaches neither.
 func TestTableIsCurrent(t *testing.T) {
 	runInCell(t, 3, func(c *cell) {
 		c.writeConfiguration(grantPrefix+"a", 0)
@@ -103,28 +102,28 @@
 			follower = c.nodes[1]
 		}
 		c.assertConfigurationVersion(follower, 2, time.Second)
-		assertTableIsCurrent(t, "at rest", follower, true)
+		assertTableIsCurrent(t, "store and owner reachable", follower, true)
 		follower.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 		time.Sleep(10 * time.Second)
-		assertTableIsCurrent(t, "without the store", follower, true)
+		assertTableIsCurrent(t, "store unreachable", follower, true)
 		c.writeConfiguration(grantPrefix+"b", 0)
 		c.assertConfigurationVersion(follower, 3, 2*time.Second)
-		assertTableIsCurrent(t, "after a change that only the owner tells", follower, true)
+		assertTableIsCurrent(t, "store unreachable, change received from the owner", follower, true)
 		for _, m := range c.nodes {
 			c.network.Cut(m.name, follower.name)
 			c.network.Cut(follower.name, m.name)
 		}
 		time.Sleep(3 * time.Second)
-		assertTableIsCurrent(t, "without the owner too", follower, false)
+		assertTableIsCurrent(t, "store and owner unreachable", follower, false)
 		follower.storeCaller.SetFault(nil)
 		time.Sleep(4 * time.Second)
-		assertTableIsCurrent(t, "with the store again", follower, true)
+		assertTableIsCurrent(t, "store reachable again", follower, true)
 	})
 }
 
-func assertTableIsCurrent(t *testing.T, when string, m *member, want bool) {
+func assertTableIsCurrent(t *testing.T, condition string, m *member, want bool) {
 	t.Helper()
 	if got := m.TableIsCurrent(); got != want {
-		t.Errorf("%s: current %v, want %v", when, got, want)
+		t.Errorf("%s: TableIsCurrent() = %v, want %v", condition, got, want)
 	}
 }
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -9,10 +9,10 @@
 	"chutereach/rowstore/memory"
 )
 
-// evacuationLimit is how long after an evacuation work may still begin in the data hall.
+// evacuationLimit is how long after an evacuation tasks may still start in the data hall.
 const evacuationLimit = 5 * time.Second
 
-// restartWithEvacuationLimit gives every node a new life that heeds evacuations within the bound.
+// restartWithEvacuationLimit restarts all nodes with evacuationLimit.
 func (c *cell) restartWithEvacuationLimit() {
 	c.evacuateWithin = evacuationLimit
 	for _, m := range c.nodes {
@@ -33,19 +33,19 @@
 	c.fleet.Evacuate(hall, evacuationLimit)
 }
 
-// Whoever owns the shard after a data hall was evacuated, nothing begins there, and work goes on
-// elsewhere.
+// No task starts in an evacuated data hall after evacuationLimit, whichever node owns the shard then,
+// and jobs still complete in other data halls.
 func TestEveryOwnerHeedsEvacuations(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(c *cell, owner *member) (restore func())
 	}{
-		{"the owner stays", func(*cell, *member) func() { return func() {} }},
-		{"the owner is killed at once", func(c *cell, owner *member) func() {
+		{"no fault", func(*cell, *member) func() { return func() {} }},
+		{"the owner is killed", func(c *cell, owner *member) func() {
 			c.stop(owner)
 			return func() { c.start(owner) }
 		}},
-		{"every node is killed at once", func(c *cell, owner *member) func() {
+		{"all nodes are restarted", func(c *cell, owner *member) func() {
 			for _, m := range c.nodes {
 				c.stop(m)
 			}
@@ -54,11 +54,11 @@
 			}
 			return func() {}
 		}},
-		{"the store turns the owner away", func(c *cell, owner *member) func() {
+		{"the store refuses the owner", func(c *cell, owner *member) func() {
 			owner.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 			return func() { owner.storeCaller.SetFault(nil) }
 		}},
-		{"no node reads the store", func(c *cell, _ *member) func() {
+		{"the store answers no reads", func(c *cell, _ *member) func() {
 			for _, m := range c.nodes {
 				m.storeCaller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
 			}
@@ -72,7 +72,7 @@
 				owner := c.owner()
 				restore := test.inject(c, owner)
 				c.evacuate(hallOf(0))
-				for i := range 30 { // some are refused
+				for i := range 30 { // submissions may fail during the fault
 					at := c.nodes[i%len(c.nodes)]
 					c.submit(at, fmt.Sprintf("job-%d", i))
 					time.Sleep(400 * time.Millisecond)
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// AddTimerLag makes a node believe that its timers are served late, as a process
-// short of processor time does.
+// AddTimerLag records one sample of timer lag, as on a node that lacks processor time.
 func (n *Node) AddTimerLag(late time.Duration) { n.lag.add(late) }
 
-// MemberCount returns how many nodes the node knows, itself included.
+// MemberCount returns the number of members that the node knows, including itself.
 func (n *Node) MemberCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.members)
 }
 
-// IsPeerLost reports whether the node waits for nothing from another one.
+// IsPeerLost reports whether the node has marked a peer as lost.
 func (n *Node) IsPeerLost(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peers[name].lost
 }
 
-// ShardLoaded reports whether this node owns the shard and has read its rows.
+// ShardLoaded reports whether this node owns the shard and has loaded its rows.
 func (n *Node) ShardLoaded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,18 +34,18 @@
 	}
 }
 
-// KnownOwner returns the node that this one takes for the owner.
+// KnownOwner returns the name of the owner with the highest token that this node has heard of.
 func (n *Node) KnownOwner() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owner.Node
 }
 
-// Relay returns the relay that the node is to ask, or nothing.
+// Relay returns the address of the relay that the node polls, or an empty string if it reads the store.
 func (n *Node) Relay() string { return n.orders.usable(time.Now()) }
 
-// UsesRelay reports whether the operator's orders come from a relay now.
+// UsesRelay reports whether the node receives configuration and evacuations from a relay.
 func (n *Node) UsesRelay() bool { return n.orders.relayed() }
 
-// Stopped reports whether the node's life is over.
+// Stopped reports whether the node's context has ended.
 func (n *Node) Stopped() bool { return n.ctx.Err() != nil }
--- a/node/forget_test.go
+++ b/node/forget_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// forgottenAfter is how long a node is away until it is certainly forgotten.
+// forgottenAfter exceeds forgetAfter and one cleanup interval.
 const forgottenAfter = 4 * time.Minute
 
 func (c *cell) assertMemberCount(want int) {
 	c.t.Helper()
 	for _, m := range c.nodes {
 		if got := m.MemberCount(); got != want && !m.Stopped() {
-			c.t.Errorf("%s knows %d nodes, want %d", m.name, got, want)
+			c.t.Errorf("%s knows %d members, want %d", m.name, got, want)
 		}
 	}
 }
 
-// Nodes that are gone for good are forgotten by all, and known again if they come back.
+// All nodes forget a member that stays stopped, and learn of it again after it restarts.
 func TestAbsentNodesAreForgotten(t *testing.T) {
 	runInCell(t, 4, func(c *cell) {
 		stopped := c.nodeOtherThan(c.owner())
@@ -32,8 +32,7 @@
 	})
 }
 
-// A node that was cut off from its owner for so long that it was forgotten is known again once the
-// cut heals.
+// A node that was forgotten during a network partition registers again after the partition heals.
 func TestForgottenNodeRegistersAgain(t *testing.T) {
 	runInCell(t, 4, func(c *cell) {
 		isolated := c.nodeOtherThan(c.owner())
@@ -49,7 +48,7 @@
 		time.Sleep(time.Minute)
 		c.assertMemberCount(4)
 		if isolated.KnownOwner() != c.owner().name {
-			t.Errorf("it follows %q, want %s", isolated.KnownOwner(), c.owner().name)
+			t.Errorf("the node follows owner %q, want %s", isolated.KnownOwner(), c.owner().name)
 		}
 	})
 }
--- a/node/growth_test.go
+++ b/node/growth_test.go
@@ -11,10 +11,11 @@
 	"chutereach/rowstore/memory"
 )
 
-// maxKnownMembers is how many members a node knows that never owned the shard: the succession and itself.
+// maxKnownMembers bounds the members that a node knows if it has never owned the shard: the succession
+// and itself.
 const maxKnownMembers = 14
 
-// countMemberRows counts the rows of members that a caller of the store was sent.
+// countMemberRows returns the number of member rows in a page.
 func countMemberRows(page rowstore.Page) int {
 	count := 0
 	for _, row := range page.Rows {
@@ -25,18 +26,18 @@
 	return count
 }
 
-// What a node reads of the others when it begins, and is told of them, does not grow with their
-// number; the owner knows them all.
+// Only the owner knows all members. The member rows that other nodes read at startup and the members
+// that they learn from heartbeats must not grow with the cell.
 func TestWhatANodeKnowsOfOthersIsBounded(t *testing.T) {
 	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		if got := owner.MemberCount(); got != largeCell {
-			t.Errorf("the owner knows %d nodes, want %d", got, largeCell)
+			t.Errorf("the owner knows %d members, want %d", got, largeCell)
 		}
 		var restarted *member
 		for _, m := range c.nodes {
 			if m != owner && m.MemberCount() > maxKnownMembers {
-				t.Errorf("%s knows %d nodes, want %d at most", m.name, m.MemberCount(), maxKnownMembers)
+				t.Errorf("%s knows %d members, want %d at most", m.name, m.MemberCount(), maxKnownMembers)
 			}
 			if m != owner {
 				restarted = m
@@ -48,7 +49,7 @@
 		restarted.storeCaller.Observe(func(page rowstore.Page) { read.Add(int64(countMemberRows(page))) })
 		time.Sleep(5 * time.Second)
 		if got := read.Load(); got > maxKnownMembers {
-			t.Errorf("%s has read %d rows of members, want %d at most", restarted.name, got, maxKnownMembers)
+			t.Errorf("%s read %d member rows, want %d at most", restarted.name, got, maxKnownMembers)
 		}
 		if err := restarted.Ready(); err != nil {
 			t.Error(err)
@@ -56,7 +57,7 @@
 	})
 }
 
-// Nodes that begin again write nothing: their rows stand.
+// A restarted node does not rewrite its member row if the row is unchanged.
 func TestNodesThatBeginAgainWriteNothing(t *testing.T) {
 	runInCell(t, largeCell, func(c *cell) {
 		written := c.store.RowsWritten("nodes")
@@ -68,21 +69,21 @@
 		}
 		time.Sleep(2 * time.Second)
 		if got := c.store.RowsWritten("nodes") - written; got != 0 {
-			t.Errorf("%d rows of nodes were written", got)
+			t.Errorf("%d member rows written, want 0", got)
 		}
 		if c.owner() == nil {
-			t.Error("nobody owns the shard")
+			t.Error("no node owns the shard")
 		}
 	})
 }
 
-// Nodes that would not take the shard for long ask the store seldom while it has no owner, and
-// follow the next one all the same.
+// While the shard has no owner, nodes outside the succession poll the store with backoff. They must
+// still find the next owner.
 func TestHowOftenNodesLookForAnOwner(t *testing.T) {
 	const (
 		outage = 4 * time.Second
-		// maxCalls is for looks 50, 100, 200, 400 and 800 ms after one another and each 0.8 s, for
-		// two tries to take the shard of six calls each, and for two calls of the feed.
+		// maxCalls allows for reads of the owner row at intervals that double from 50 ms to 800 ms, two
+		// takeover attempts of six calls each, and two calls of the feed.
 		maxCalls = 22
 	)
 	runInCell(t, largeCell, func(c *cell) {
@@ -98,29 +99,29 @@
 			callsBefore[m] = m.storeCaller.Calls()
 		}
 		time.Sleep(outage)
-		far := 0
+		backedOff := 0
 		for _, m := range c.nodes {
 			if m != owner && m.storeCaller.Calls()-callsBefore[m] <= maxCalls {
-				far++
+				backedOff++
 			}
 		}
-		if want := largeCell - maxKnownMembers; far < want {
-			t.Errorf("%d nodes asked the store at most %d times in %v, want %d", far, maxCalls, outage, want)
+		if want := largeCell - maxKnownMembers; backedOff < want {
+			t.Errorf("%d nodes made at most %d calls to the store in %v, want %d or more", backedOff, maxCalls, outage, want)
 		}
 		c.setStoreFault(nil)
 		time.Sleep(3 * time.Second)
 		next := c.owner()
 		for _, m := range c.nodes {
 			if m != owner && m.KnownOwner() != next.name {
-				t.Errorf("%s follows %q, want %s", m.name, m.KnownOwner(), next.name)
+				t.Errorf("%s follows owner %q, want %s", m.name, m.KnownOwner(), next.name)
 			}
 		}
 	})
 }
 
-// A successor reads the workers while it reads the shard's rows, and every node soon follows it.
+// A successor lists the workers while it loads the shard, not after that.
 func TestASuccessorReadsWorkersAndRowsAtOnce(t *testing.T) {
-	const readDelay = 600 * time.Millisecond // for each read
+	const readDelay = 600 * time.Millisecond
 	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		var mu sync.Mutex
@@ -145,16 +146,16 @@
 		time.Sleep(5 * time.Second)
 		next := c.owner()
 		if next == nil {
-			t.Fatal("nobody took the shard")
+			t.Fatal("no node took over the shard")
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if !slices.Contains(listedBeforeLoad, next.name) {
-			t.Error("the rows were read before the workers")
+			t.Error("the successor did not list the workers until the shard was loaded")
 		}
 		for _, m := range c.nodes {
 			if m != owner && m.KnownOwner() != next.name {
-				t.Errorf("%s follows %q, want %s", m.name, m.KnownOwner(), next.name)
+				t.Errorf("%s follows owner %q, want %s", m.name, m.KnownOwner(), next.name)
 			}
 		}
 	})
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -9,8 +9,7 @@
 	"chutereach/rowstore/memory"
 )
 
-// The regression of trouble-2 at the grown deployment: an owner that found no successor
-// held its transactions while it asked each of forty nodes.
+// An owner without a suitable successor must not block transactions while it asks the candidates.
 func TestAHandoverWithoutAnHeirHoldsNothingUp(t *testing.T) {
 	runInCell(t, 9, func(c *cell) {
 		time.Sleep(3 * time.Second)
@@ -28,17 +27,17 @@
 				t.Error(err)
 			}
 			if took := time.Since(begun); took > 200*time.Millisecond {
-				t.Errorf("a job was accepted after %v", took)
+				t.Errorf("job accepted after %v, want 200ms at most", took)
 			}
 		}
 	})
 }
 
-// handoverLimit is for how long nobody may own a shard whose owner the store turns away, at the most:
-// jobs of the shortest objective at hand have some 0.5 s to spare.
+// handoverLimit bounds the time without an owner when the store fails for the owner alone. Urgent jobs
+// have about 0.5 s of slack.
 const handoverLimit = 400 * time.Millisecond
 
-// An owner that the store alone turns away hands over before urgent work is late.
+// An owner that loses the store while other nodes reach it hands over before urgent jobs are late.
 func TestAnOwnerThatTheStoreTurnsAwayHandsOver(t *testing.T) {
 	for name, fault := range map[string]memory.Fault{"refused": {Refuse: true}, "unanswered": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -47,14 +46,14 @@
 				former.storeCaller.SetFault(func(bool) memory.Fault { return fault })
 				time.Sleep(handoverLimit)
 				if next := c.owner(); next == nil || next == former {
-					t.Errorf("nobody else owns the shard after %v", handoverLimit)
+					t.Errorf("no other node owns the shard after %v", handoverLimit)
 				}
 			})
 		})
 	}
 }
 
-// A store that is slow for all is no reason to hand over.
+// The owner keeps the shard if the store is slow for all nodes.
 func TestASlowStoreKeepsItsOwner(t *testing.T) {
 	for _, slow := range []time.Duration{30 * time.Millisecond, 120 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(slow.String(), func(t *testing.T) {
@@ -64,7 +63,7 @@
 				for range 100 {
 					time.Sleep(50 * time.Millisecond)
 					if c.owner() != former {
-						t.Fatalf("%s owns the shard no more", former.name)
+						t.Fatalf("%s lost the shard", former.name)
 					}
 				}
 			})
@@ -72,8 +71,8 @@
 	}
 }
 
-// The regression of own day 725: the store turned a successor away between its takeover
-// and its reading of the shard, and the successor went on trying for seven seconds.
+// A successor that the store refuses between takeover and load must hand the shard over instead of
+// retrying the load.
 func TestSuccessorThatCannotLoadHandsOver(t *testing.T) {
 	runInCell(t, 4, func(c *cell) {
 		if err := c.submit(c.nodes[3], "before"); err != nil {
@@ -84,30 +83,29 @@
 			if m == former {
 				continue
 			}
-			taken := false
+			tookOver := false
 			m.storeCaller.SetFault(func(write bool) memory.Fault {
-				refuse := taken
-				taken = taken || write
+				refuse := tookOver
+				tookOver = tookOver || write
 				return memory.Fault{Refuse: refuse}
 			})
-			break // the first successor that is asked
+			break // only the first candidate
 		}
 		former.Stop(c.ctx)
 		begun := time.Now()
 		for c.submit(c.nodes[3], "after") != nil {
 			if time.Since(begun) > 3*time.Second {
-				t.Fatal("no job is accepted for 3 s")
+				t.Fatal("no job accepted within 3 s of the handover")
 			}
-			time.Sleep(20 * time.Millisecond) // a refusal takes no time in the bubble
+			time.Sleep(20 * time.Millisecond) // refusals do not advance the synctest clock
 		}
 		c.awaitCompleted(c.nodes[3], "before", 10*time.Second)
 		c.awaitCompleted(c.nodes[3], "after", 10*time.Second)
 	})
 }
 
-// A shard that is large takes long to read, at this node and at any other: it is
-// not handed on for that (the regression of trouble-3 at cfg-bench-grown, where it
-// went from node to node for ten seconds).
+// A slow load of a large shard must not trigger further handovers: the load would be as slow on any
+// other node.
 func TestLargeShardIsNotHandedOverWhileLoading(t *testing.T) {
 	runInCell(t, 4, func(c *cell) {
 		former := c.owner()
@@ -119,7 +117,7 @@
 				defer mu.Unlock()
 				switch {
 				case write && m != former && loading == 0:
-					loading = 3 // the three tables are read next
+					loading = 3 // the next three reads load the shard's tables
 				case !write && loading > 0:
 					loading--
 					return memory.Fault{Slow: 1200 * time.Millisecond}
@@ -136,7 +134,7 @@
 		}
 		delete(owners, former.name)
 		if len(owners) != 1 {
-			t.Errorf("the shard went to %d nodes, want 1", len(owners))
+			t.Errorf("%d nodes took over the shard, want 1", len(owners))
 		}
 		if err := c.submit(c.nodes[3], "job"); err != nil {
 			t.Error(err)
--- a/node/large_test.go
+++ b/node/large_test.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// largeCell has more nodes than an owner sends a heartbeat to at each turn.
+	// largeCell exceeds the number of nodes to which an owner sends every heartbeat.
 	largeCell = 60
-	// checkEvery picks the nodes that are asked to serve.
+	// checkEvery is the step between the nodes that assertServesCalls checks.
 	checkEvery = 7
 )
 
-// Nodes that hear of their owner more seldom follow it all the same, serve callers, and
-// follow its successor after its loss.
+// Nodes that receive heartbeats at a reduced rate still follow the owner, serve calls, and follow its
+// successor.
 func TestFarNodesFollowOwner(t *testing.T) {
 	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
@@ -23,20 +23,21 @@
 		}
 		time.Sleep(10 * time.Second)
 		if c.owner() != owner {
-			t.Errorf("%s lost the shard in a calm time", owner.name)
+			t.Errorf("%s lost the shard without a fault", owner.name)
 		}
-		assertServesCalls(t, c, nil, "calm")
+		assertServesCalls(t, c, nil, "before")
 		c.stop(owner)
 		defer c.start(owner)
 		time.Sleep(3 * time.Second)
 		if c.owner() == nil {
-			t.Fatal("nobody owns the shard 3 s after its owner's loss")
+			t.Fatal("no node owns the shard 3 s after the owner stopped")
 		}
 		assertServesCalls(t, c, owner, "after")
 	})
 }
 
-// assertServesCalls hands a job in at some nodes, but not at one that is down.
+// assertServesCalls checks that every checkEvery-th node is ready and that a job submitted through it
+// completes. It skips the node that is down.
 func assertServesCalls(t *testing.T, c *cell, down *member, prefix string) {
 	t.Helper()
 	for i := 0; i < len(c.nodes); i += checkEvery {
--- a/node/load_test.go
+++ b/node/load_test.go
@@ -9,17 +9,17 @@
 	"chutereach/scheduler"
 )
 
-// A node that took the shard and may not read it, since the store fails, refuses
-// calls at once instead of holding them to their end.
+// An owner that cannot load the shard because the store fails must refuse calls at once instead of
+// holding them until they time out.
 func TestCallsAreRefusedWhileTheShardCannotLoad(t *testing.T) {
 	runInCell(t, 1, func(c *cell) {
 		m := c.nodes[0]
 		c.stop(m)
-		taken := false
+		tookOver := false
 		c.start(m)
 		m.storeCaller.SetFault(func(write bool) memory.Fault {
-			refuse := taken
-			taken = taken || write && m.Owns()
+			refuse := tookOver
+			tookOver = tookOver || write && m.Owns()
 			return memory.Fault{Refuse: refuse || m.Owns()}
 		})
 		for end := time.Now().Add(5 * time.Second); !m.Owns() && time.Now().Before(end); {
@@ -30,15 +30,15 @@
 		err := c.submit(m, "job")
 		var overloaded *scheduler.OverloadedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
-			t.Errorf("got %v, want to be told when to come back", err)
+			t.Errorf("got error %v, want OverloadedError with RetryAfter", err)
 		}
 		if took := time.Since(begun); took > 100*time.Millisecond {
-			t.Errorf("refused after %v", took)
+			t.Errorf("refused after %v, want 100ms at most", took)
 		}
 		m.storeCaller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if err := c.submit(m, "job"); err != nil {
-			t.Errorf("once the store is back: %v", err)
+			t.Errorf("submit after the store recovered: %v", err)
 		}
 	})
 }
--- a/node/lost_test.go
+++ b/node/lost_test.go
@@ -7,8 +7,7 @@
 	"chutereach/rowstore/memory"
 )
 
-// Who takes the shard for its owner's silence waits for nothing from the former owner,
-// until that answers again.
+// A successor marks an unresponsive former owner as lost, and clears the mark when it answers again.
 func TestSilentOwnerIsMarkedLost(t *testing.T) {
 	runInCell(t, 3, func(c *cell) {
 		former := c.owner()
@@ -20,11 +19,11 @@
 		begun := time.Now()
 		next := c.awaitOtherOwner(former, 1500*time.Millisecond)
 		if next == nil {
-			t.Fatal("no successor")
+			t.Fatal("no node took over the shard within 1.5 s")
 		}
-		t.Logf("succeeded after %v", time.Since(begun))
+		t.Logf("takeover after %v", time.Since(begun))
 		if !next.IsPeerLost(former.name) {
-			t.Error("the former owner is not counted as lost at the takeover")
+			t.Error("the former owner is not marked as lost at the takeover")
 		}
 		for _, other := range c.nodes {
 			c.network.Heal(former.name, other.name)
@@ -33,16 +32,16 @@
 		former.storeCaller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if owner := c.owner(); owner != nil && owner != former && owner.IsPeerLost(former.name) {
-			t.Error("the former owner answers and still counts as lost")
+			t.Error("the former owner answers but is still marked as lost")
 		}
 	})
 }
 
-// replacementLimit is how soon a machine that falls silent owns the shard no more: it is overdue 0.2 s
-// after its last heartbeat, its row must stand for 0.35 s, and two looks and a transaction are left.
+// replacementLimit bounds the takeover from an unresponsive owner: 0.2 s until its heartbeat is overdue,
+// 0.35 s during which its row must not change, and time for two reads and a transaction.
 const replacementLimit = 680 * time.Millisecond
 
-// An owner whose machine falls silent is replaced without one more wait for its answer.
+// The takeover from an unresponsive owner must not wait for another ping to time out.
 func TestHowSoonASilentOwnerIsReplaced(t *testing.T) {
 	for _, after := range []time.Duration{0, 40 * time.Millisecond, 80 * time.Millisecond, 120 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
@@ -55,14 +54,14 @@
 				}
 				former.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 				if c.awaitOtherOwner(former, replacementLimit) == nil {
-					t.Errorf("nobody has replaced it after %v", replacementLimit)
+					t.Errorf("no other node owns the shard after %v", replacementLimit)
 				}
 			})
 		})
 	}
 }
 
-// awaitOtherOwner waits until a node other than one owns the shard.
+// awaitOtherOwner waits until a node other than the former owner owns the shard, and returns nil if none does.
 func (c *cell) awaitOtherOwner(former *member, within time.Duration) *member {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, m := range c.nodes {
--- a/node/members_test.go
+++ b/node/members_test.go
@@ -7,8 +7,7 @@
 	"chutereach/rowstore/memory"
 )
 
-// Members are told once, and again to a node that began anew, though the store does
-// not serve it.
+// The owner sends the members again to a restarted node, which may be unable to read them from the store.
 func TestRestartedNodeLearnsMembers(t *testing.T) {
 	runInCell(t, 4, func(c *cell) {
 		restarted := c.nodeOtherThan(c.owner())
@@ -18,11 +17,11 @@
 		restarted.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		time.Sleep(2 * time.Second)
 		if got := restarted.MemberCount(); got != len(c.nodes) {
-			t.Errorf("it knows %d nodes, want %d", got, len(c.nodes))
+			t.Errorf("the restarted node knows %d members, want %d", got, len(c.nodes))
 		}
 		for _, m := range c.nodes {
 			if got := m.MemberCount(); got != len(c.nodes) {
-				t.Errorf("%s knows %d nodes, want %d", m.name, got, len(c.nodes))
+				t.Errorf("%s knows %d members, want %d", m.name, got, len(c.nodes))
 			}
 		}
 		restarted.storeCaller.SetFault(nil)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -31,7 +31,7 @@
 
 var queue = workload.Queue{Name: "lookups", Service: service, Attempts: 3, Stretch: 1.5, Target: time.Second}
 
-// cell is some nodes, their network, their store and the workers.
+// cell is a set of nodes with a simulated network, store and workers.
 type cell struct {
 	t           *testing.T
 	ctx         context.Context
@@ -39,33 +39,31 @@
 	store       *memory.Store
 	fleet       *fleettest.Fleet
 	nodes       []*member
-	onOwnership func(bool) // told by nodes that start from now on; nil: nobody is
-	fastLinks   int        // how many of the nodes that are added have wide links and strong machines
-	// onWorkerList, if given, is called when a node begins to read the workers.
+	onOwnership func(bool) // Config.Owns of the nodes that start next
+	fastLinks   int        // number of nodes, from the first, that have a fast link and a powerful machine
+	// onWorkerList, if set, is called when a node starts to list the workers.
 	onWorkerList atomic.Pointer[func(*member)]
-	// evacuateWithin is for how long nodes that start from now on may start work in a data hall
-	// that is evacuated; 0: not bounded.
+	// evacuateWithin is the scheduler's EvacuateWithin of the nodes that start next; 0 means no limit.
 	evacuateWithin time.Duration
 }
 
-// member is one node.
+// member is a node of a cell. A restart replaces the embedded Node.
 type member struct {
 	*node.Node
 	name        string
 	storeCaller *memory.Caller
-	servers     *peer.PlainServer
+	server      *peer.PlainServer
 	kill        context.CancelFunc
 	done        chan struct{}
 	starts      int
-	// cores and linkMbps are what its machine has, in cores and Mbit/s.
+	// The power and link speed that the node reports for its machine; 0 if unknown.
 	cores, linkMbps float64
 }
 
-// anonymousCaller is a caller without an account, let in by a table that is newer than any other.
+// anonymousCaller is a caller without an account. Its table version is the highest possible, so owners
+// do not check it again.
 var anonymousCaller = routing.Caller{Version: math.MaxUint64}
 
-// The member's calls are those of anybody.
-
 func (m *member) Submit(ctx context.Context, id string, record workload.Record) error {
 	return m.Node.Submit(ctx, anonymousCaller, id, record)
 }
@@ -102,7 +100,7 @@
 	})
 }
 
-// start gives a node a new life.
+// start starts or restarts a node.
 func (c *cell) start(m *member) {
 	ctx, kill := context.WithCancel(c.ctx)
 	m.kill, m.done, m.storeCaller = kill, make(chan struct{}), c.store.Caller()
@@ -111,8 +109,8 @@
 	platform := node.Platform{
 		Store: caller, Workers: c.fleet, Advisor: c.fleet,
 		FollowWorkers: func(ctx context.Context, changed func([]fleet.Worker)) {
-			if listing := c.onWorkerList.Load(); listing != nil {
-				(*listing)(m)
+			if callback := c.onWorkerList.Load(); callback != nil {
+				(*callback)(m)
 			}
 			for ctx.Err() == nil {
 				changed(c.fleet.List())
@@ -134,8 +132,8 @@
 		Owns:      c.onOwnership,
 	}
 	m.Node = node.New(ctx, config, platform, peer.NewPlainClientOver(c.network.Dial(m.name)), node.NewMetrics(), zerolog.Nop())
-	m.servers = peer.NewPlainServer(c.network.Listen(m.name), m.Mux())
-	go m.servers.Serve()
+	m.server = peer.NewPlainServer(c.network.Listen(m.name), m.Mux())
+	go m.server.Serve()
 	done := m.done
 	go func() {
 		m.Run()
@@ -146,15 +144,15 @@
 // hallOf returns the data hall of a worker.
 func hallOf(worker int) string { return fmt.Sprintf("hall-%d", worker%2) }
 
-// stop ends a node's life at once.
+// stop kills a node without a handover.
 func (c *cell) stop(m *member) {
 	c.network.Kill(m.name)
-	m.servers.Close()
+	m.server.Close()
 	m.kill()
 	<-m.done
 }
 
-// addNodes starts a number of nodes.
+// addNodes adds nodes to the cell and starts them.
 func (c *cell) addNodes(count int) {
 	for i := range count {
 		m := &member{name: fmt.Sprintf("node-%d:80", i)} // HTTP adds port 80 to an address without one
@@ -171,7 +169,7 @@
 	return workload.Request{Spec: "s", Steps: []workload.Step{{Count: 2, Need: need, Estimate: time.Second}}}
 }
 
-// submit hands a job in at a node, once.
+// submit submits a job through a node, without retries.
 func (c *cell) submit(m *member, id string) error {
 	c.fleet.Know(id, fleettest.Kind{Request: request(), Attempts: 3})
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
@@ -179,7 +177,7 @@
 	return m.Submit(ctx, id, workload.Record{Request: request(), Queue: queue, Accepted: time.Now().UnixMilli()})
 }
 
-// awaitCompleted waits until a node shows a job as completed.
+// awaitCompleted waits until a node reports a job as completed.
 func (c *cell) awaitCompleted(m *member, id string, within time.Duration) {
 	c.t.Helper()
 	var state workload.State
@@ -190,10 +188,10 @@
 			return
 		}
 	}
-	c.t.Errorf("job %s is %q (%v) at %s after %v", id, state, err, m.name, within)
+	c.t.Errorf("job %s is %q (%v) at %s after %v, want completed", id, state, err, m.name, within)
 }
 
-// owner returns the node that owns the shard.
+// owner returns a node that owns the shard, or nil.
 func (c *cell) owner() *member {
 	for _, m := range c.nodes {
 		if m.Owns() {
@@ -203,7 +201,7 @@
 	return nil
 }
 
-// nodeOtherThan returns a node other than one.
+// nodeOtherThan returns a node other than the excluded one.
 func (c *cell) nodeOtherThan(excluded *member) *member {
 	for _, m := range c.nodes {
 		if m != excluded {
@@ -230,40 +228,40 @@
 		var notJob *scheduler.NotJobError
 		for _, m := range c.nodes {
 			if _, err := m.State(c.ctx, "unknown"); !errors.As(err, &notJob) {
-				t.Errorf("%s: an unknown job: %v", m.name, err)
+				t.Errorf("%s: state of an unknown job: got error %v, want NotJobError", m.name, err)
 			}
 			if count, err := m.Pending(c.ctx, "lookups"); err != nil || count != 0 {
-				t.Errorf("%s: pending %d, %v", m.name, count, err)
+				t.Errorf("%s: Pending() = %d, %v; want 0, nil", m.name, count, err)
 			}
 		}
 	})
 }
 
-// ownerLosses are how an owner can be lost, and what brings it back.
+// ownerLosses are the faults after which another node must take over the shard.
 var ownerLosses = []struct {
 	name   string
 	inject func(*cell, *member)
-	limit  time.Duration // until another node owns the shard
+	limit  time.Duration // for the takeover
 }{
-	{"it is killed", func(c *cell, m *member) { c.stop(m); c.start(m) }, 2 * time.Second},
-	{"its machine loses power", func(c *cell, m *member) {
+	{"killed and restarted", func(c *cell, m *member) { c.stop(m); c.start(m) }, 2 * time.Second},
+	{"machine loses power", func(c *cell, m *member) {
 		for _, other := range c.nodes {
 			c.network.Cut(m.name, other.name)
 			c.network.Cut(other.name, m.name)
 		}
 		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 	}, 3 * time.Second},
-	{"the store refuses it", func(_ *cell, m *member) {
+	{"store refuses calls", func(_ *cell, m *member) {
 		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 	}, 3 * time.Second},
-	{"the store does not answer it", func(_ *cell, m *member) {
+	{"store does not answer", func(_ *cell, m *member) {
 		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 	}, 4 * time.Second},
-	{"it is short of processor time", func(_ *cell, m *member) {
-		time.Sleep(3 * time.Second) // a term is given time to settle
+	{"lacks processor time", func(_ *cell, m *member) {
+		time.Sleep(3 * time.Second) // lag is ignored at the start of a term
 		m.AddTimerLag(time.Second)
 	}, time.Second},
-	{"it is stopped in order", func(c *cell, m *member) { m.Stop(c.ctx) }, 500 * time.Millisecond},
+	{"graceful stop", func(c *cell, m *member) { m.Stop(c.ctx) }, 500 * time.Millisecond},
 }
 
 func TestAnOwnerIsSucceeded(t *testing.T) {
@@ -279,7 +277,7 @@
 				begun := time.Now()
 				for c.owner() == nil || c.owner().Node == formerNode {
 					if time.Since(begun) > loss.limit {
-						t.Fatalf("no successor within %v", loss.limit)
+						t.Fatalf("no other node owns the shard after %v", loss.limit)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
@@ -331,7 +329,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(begun); took > time.Second {
-			t.Errorf("no owner for %v after the start", took)
+			t.Errorf("no owner for %v after the restart, want 1s at most", took)
 		}
 		c.awaitCompleted(c.nodes[2], "job", 12*time.Second)
 	})
@@ -347,15 +345,15 @@
 		err := c.submit(m, "job")
 		var overloaded *scheduler.OverloadedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
-			t.Errorf("got %v, want to be told when to come back", err)
+			t.Errorf("got error %v, want OverloadedError with RetryAfter", err)
 		}
 		if took := time.Since(begun); took > 1500*time.Millisecond {
-			t.Errorf("refused after %v", took)
+			t.Errorf("refused after %v, want 1.5s at most", took)
 		}
 		m.storeCaller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
-			t.Errorf("a refused job was started %d times", got)
+			t.Errorf("tasks of a refused job started %d times, want 0", got)
 		}
 	})
 }
@@ -375,7 +373,7 @@
 		}
 		time.Sleep(time.Second)
 		if table, _ := disconnected.Routes(); table.Version != 2 {
-			t.Errorf("version %d is in force, want 2", table.Version)
+			t.Errorf("configuration version %d in force, want 2", table.Version)
 		}
 	})
 }
@@ -390,7 +388,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if c.owner() != owner {
-			t.Error("the shard went to a node that is no better off")
+			t.Error("the owner lost the shard although no other node is less loaded")
 		}
 	})
 }
--- a/node/orders_test.go
+++ b/node/orders_test.go
@@ -10,15 +10,13 @@
 	"chutereach/workload"
 )
 
-// The rows of a cell's store by which its operator speaks.
-
-// setOnWorkerList has f called when a node begins to read the workers.
+// setOnWorkerList sets a function that is called when a node starts to list the workers.
 func (c *cell) setOnWorkerList(f func(*member)) { c.onWorkerList.Store(&f) }
 
-// evacuatePrefix begins the name of a row that evacuates the data hall after it.
+// evacuatePrefix is the name prefix of rows that evacuate a data hall.
 const evacuatePrefix = "evacuate/"
 
-// evacuatedHalls returns the data halls that rows evacuate.
+// evacuatedHalls returns the names of the data halls that the rows evacuate.
 func evacuatedHalls(rows map[string]rowstore.Row) []string {
 	var halls []string
 	for name := range rows {
@@ -29,8 +27,8 @@
 	return halls
 }
 
-// routingTable is the table of routes that the rows of a configuration come to: a version for
-// each row, and a route for each routeBytes in them, one at least.
+// routingTable builds a routing table from configuration rows. Each row adds one to the version, and every
+// routeBytes of row data add a route to the default one.
 func routingTable(rows map[string]rowstore.Row) routing.Table {
 	table := routing.Table{Version: uint64(1 + len(rows)), Routes: []routing.Route{{Host: "h", Prefix: "/p/", Queue: queue}}}
 	size := 0
@@ -49,6 +47,5 @@
 	return addAccounts(table, rows)
 }
 
-// routeBytes is what a route takes in an answer of the store, as measured: 1,081,758
-// bytes for 4,245 routes.
+// routeBytes is the approximate size of an encoded route in an answer of the store.
 const routeBytes = 255
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// relayCellSize is a data hall with relays, wideNodes of its nodes have a wide link.
+	// relayCellSize is the size of a data hall that uses relays. fastLinkNodes of its nodes have a fast link.
 	relayCellSize = 50
 	fastLinkNodes = 16
-	// applyLimit is the shortest time at hand in which a configuration must be in force.
+	// applyLimit is the time within which a configuration must be in force on all nodes.
 	applyLimit = 2 * time.Second
 )
 
-// runInRelayCell runs a test in a large data hall once its relays are known.
+// runInRelayCell runs a test in a large data hall once relays are assigned. The served nodes are those
+// that use a relay.
 func runInRelayCell(t *testing.T, test func(c *cell, relays, served []*member)) {
 	t.Helper()
 	runInCell(t, 0, func(c *cell) {
@@ -43,8 +44,7 @@
 	})
 }
 
-// Nodes that have a relay ask the store nothing while nothing happens, and a change of the
-// configuration comes to them from their relay.
+// Nodes with a relay make no calls to the store, neither when idle nor when the configuration changes.
 func TestRelaysSpareTheStore(t *testing.T) {
 	runInRelayCell(t, func(c *cell, _, served []*member) {
 		calls := map[*member]int{}
@@ -59,27 +59,27 @@
 			c.assertConfigurationVersion(m, 2, applyLimit/4)
 		}
 		for _, m := range served {
-			if asked := m.storeCaller.Calls() - calls[m]; asked > 0 {
-				t.Errorf("%s asked the store %d times", m.name, asked)
+			if made := m.storeCaller.Calls() - calls[m]; made > 0 {
+				t.Errorf("%s made %d calls to the store, want 0", m.name, made)
 			}
 		}
 		if got := rows.Load(); got > 0 {
-			t.Errorf("%d rows came from the store to nodes with a relay", got)
+			t.Errorf("nodes with a relay read %d rows from the store, want 0", got)
 		}
 	})
 }
 
-// Whatever becomes of its relay, and at any moment, a node has a change of the configuration in time.
+// A configuration change reaches nodes in time although their relay failed before it.
 func TestAChangeReachesNodesWhoseRelayFails(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(c *cell, relay *member) (restore func())
 	}{
-		{"is killed", func(c *cell, relay *member) func() {
+		{"relay killed", func(c *cell, relay *member) func() {
 			c.stop(relay)
 			return func() { c.start(relay) }
 		}},
-		{"is cut off from the nodes", func(c *cell, relay *member) func() {
+		{"relay unreachable", func(c *cell, relay *member) func() {
 			for _, m := range c.nodes {
 				c.network.Cut(m.name, relay.name)
 			}
@@ -89,18 +89,18 @@
 				}
 			}
 		}},
-		{"is turned away by the store", func(_ *cell, relay *member) func() {
+		{"store refuses the relay", func(_ *cell, relay *member) func() {
 			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 			return func() { relay.storeCaller.SetFault(nil) }
 		}},
-		{"is not answered by the store", func(_ *cell, relay *member) func() {
+		{"store does not answer the relay", func(_ *cell, relay *member) func() {
 			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 			return func() { relay.storeCaller.SetFault(nil) }
 		}},
 	}
 	for _, test := range cases {
 		for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
-			t.Run(test.name+", a change "+after.String()+" later", func(t *testing.T) {
+			t.Run(test.name+", change "+after.String()+" later", func(t *testing.T) {
 				runInRelayCell(t, func(c *cell, relays, served []*member) {
 					var restores []func()
 					for _, relay := range relays {
@@ -127,12 +127,12 @@
 	}
 }
 
-// A takeover sends nobody back to the store.
+// A takeover must not make nodes with a relay fall back to the store.
 func TestTakeoverKeepsRelays(t *testing.T) {
 	runInRelayCell(t, func(c *cell, relays, served []*member) {
 		owner := c.owner()
 		if slices.Contains(relays, owner) || slices.Contains(served, owner) {
-			t.Fatal("the owner takes part")
+			t.Fatal("the owner is a relay or has one")
 		}
 		calls := map[*member]int{}
 		for _, m := range served {
@@ -143,15 +143,15 @@
 		time.Sleep(8 * time.Second)
 		next := c.owner()
 		for _, m := range served {
-			if asked := m.storeCaller.Calls() - calls[m]; asked > 0 && m != next && m.Relay() != "" {
-				t.Errorf("%s asked the store %d times", m.name, asked)
+			if made := m.storeCaller.Calls() - calls[m]; made > 0 && m != next && m.Relay() != "" {
+				t.Errorf("%s made %d calls to the store, want 0", m.name, made)
 			}
 		}
 		c.start(owner)
 	})
 }
 
-// Nodes with a relay hear of evacuations, and take the shard over when all others are gone.
+// Nodes with a relay take over the shard when all other nodes are stopped.
 func TestNodesWithRelayTakeOver(t *testing.T) {
 	runInRelayCell(t, func(c *cell, _, served []*member) {
 		for _, m := range c.nodes {
@@ -161,7 +161,7 @@
 		}
 		time.Sleep(6 * time.Second)
 		if owner := c.owner(); owner == nil || owner.Relay() != "" && owner.UsesRelay() {
-			t.Error("nobody owns the shard, or an owner has its orders from a relay")
+			t.Error("no node owns the shard, or the owner still receives its configuration from a relay")
 		}
 		for _, m := range c.nodes {
 			if !slices.Contains(served, m) {
--- a/node/relayplan_test.go
+++ b/node/relayplan_test.go
@@ -9,7 +9,7 @@
 	"chutereach/evacuation"
 )
 
-// hallMembers returns members of one data hall, some with wide links.
+// hallMembers returns the members of a data hall; the first ones have fast links of the given speed.
 func hallMembers(hall string, fast, slow int, link float64) []Member {
 	var members []Member
 	for i := range fast + slow {
@@ -27,14 +27,14 @@
 		name       string
 		fast, slow int
 		link       float64
-		served     int // nodes that have a relay, the succession apart
+		served     int // nodes with a relay, without the succession
 	}{
-		{"a small hall", 3, 12, 1000, 0},
-		{"no wide links", 0, 90, 1000, 0},
-		{"links that are not known", 12, 90, 0, 0},
-		{"wide links", 12, 90, 1000, 98 - 9},
+		{"small hall", 3, 12, 1000, 0},
+		{"no fast links", 0, 90, 1000, 0},
+		{"unknown link speed", 12, 90, 0, 0},
+		{"fast links", 12, 90, 1000, 98 - 9},
 		{"links for 25 nodes each", 3, 40, 200, 41 - 11},
-		{"too few for all", 1, 90, 1000, 32},
+		{"too few relays", 1, 90, 1000, 32},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -51,21 +51,21 @@
 					t.Errorf("%s serves %d nodes, want %d at most", member.Node, followers[member.Address], limit)
 				}
 				if _, has := assigned[member.Node]; has && followers[member.Address] > 0 {
-					t.Errorf("%s is a relay and has one", member.Node)
+					t.Errorf("%s is a relay and is assigned one", member.Node)
 				}
 			}
 			if _, has := assigned[members[0].Node]; has || followers[members[0].Address] > 0 {
-				t.Error("the owner takes part")
+				t.Error("the owner is a relay or has one")
 			}
 			if test.served == 0 && len(assigned) > 0 {
-				t.Errorf("%d nodes have a relay, want none", len(assigned))
+				t.Errorf("%d nodes have a relay, want 0", len(assigned))
 			}
 			t.Logf("%d nodes, %d with a relay, %d relays", len(members), len(assigned), len(followers))
 		})
 	}
 }
 
-// A relay answers at once only with what is newer than its caller's.
+// A relay answers at once only if its view of evacuations is newer than the caller's and differs from it.
 func TestOrdersCallLacks(t *testing.T) {
 	view := evacuation.NewView([]string{"north"}, 7, clock.Now())
 	for _, test := range []struct {
@@ -79,13 +79,13 @@
 		{"a later view of other halls", ordersCall{Evacuations: 9}, false},
 	} {
 		if got := test.call.lacks(view); got != test.want {
-			t.Errorf("%s: news %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: lacks() = %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// Relays serve nodes of their own data hall once they are ready, and stay as they are while nobody
-// comes or goes.
+// Ready relays serve only nodes of their own data hall, and the assignment does not change while the
+// members stay the same.
 func TestPlanRelaysStaysInHallAndIsStable(t *testing.T) {
 	var members []Member
 	for _, hall := range []string{"a", "b", "c"} {
@@ -99,12 +99,12 @@
 	}
 	for node, relay := range assigned {
 		if node[0] != relay[0] || relay == "b-000:1" {
-			t.Errorf("%s asks %s", node, relay)
+			t.Errorf("%s is assigned relay %s, want a ready relay of its own hall", node, relay)
 		}
 	}
 	for node, relay := range planRelays(members, "a-000", ready).relays {
 		if assigned[node] != relay {
-			t.Errorf("%s asks %s, and before %s", node, relay, assigned[node])
+			t.Errorf("%s is assigned relay %s in the second plan and %q in the first", node, relay, assigned[node])
 		}
 	}
 }
--- a/node/return_test.go
+++ b/node/return_test.go
@@ -8,8 +8,8 @@
 	"chutereach/rowstore/memory"
 )
 
-// All nodes that come back at once know each other from the store, and only the first in
-// the order of succession takes the shard: each takeover reads it whole.
+// When all nodes restart at the same time, only the first in the succession takes over: every takeover
+// loads the whole shard.
 func TestOneNodeTakesTheShardWhenAllComeBack(t *testing.T) {
 	runInCell(t, 24, func(c *cell) {
 		c.submit(c.nodes[0], "before")
@@ -33,7 +33,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		if got := takeovers.Load(); got != 1 {
-			t.Errorf("the shard was taken %d times, want once", got)
+			t.Errorf("%d takeovers, want 1", got)
 		}
 		for _, m := range c.nodes[:3] {
 			if err := m.Ready(); err != nil {
--- a/node/speed_test.go
+++ b/node/speed_test.go
@@ -20,12 +20,12 @@
 		slow    bool
 	}{
 		{"too few samples", repeat(baseline, speedSamples-1), false},
-		{"as ever", repeat(baseline, 20), false},
-		{"some are interrupted", append(repeat(baseline, 10), time.Millisecond, 2*baseline, time.Millisecond, baseline, time.Millisecond), false},
-		{"a little slower", append(repeat(baseline, 10), repeat(3*baseline/2, 10)...), false},
-		{"slow, but not for long enough", append(repeat(baseline, 10), repeat(5*baseline, speedSamples-1)...), false},
+		{"unchanged", repeat(baseline, 20), false},
+		{"some samples interrupted", append(repeat(baseline, 10), time.Millisecond, 2*baseline, time.Millisecond, baseline, time.Millisecond), false},
+		{"slightly slower", append(repeat(baseline, 10), repeat(3*baseline/2, 10)...), false},
+		{"too few slow samples", append(repeat(baseline, 10), repeat(5*baseline, speedSamples-1)...), false},
 		{"slow", append(repeat(baseline, 10), repeat(5*baseline, speedSamples)...), true},
-		{"slow and well again", append(repeat(5*baseline, 10), baseline), false},
+		{"recovered", append(repeat(5*baseline, 10), baseline), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := &speedMeter{}
@@ -33,7 +33,7 @@
 				m.add(took)
 			}
 			if m.slow() != c.slow {
-				t.Errorf("slow: %v, want %v", m.slow(), c.slow)
+				t.Errorf("slow() = %v, want %v", m.slow(), c.slow)
 			}
 		})
 	}
@@ -43,6 +43,6 @@
 	m := &speedMeter{}
 	m.sample()
 	if m.best <= 0 {
-		t.Errorf("the fixed work took %v", m.best)
+		t.Errorf("best sample is %v, want more than 0", m.best)
 	}
 }
--- a/node/table_test.go
+++ b/node/table_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// assertMayFetch checks whether a table would be fetched, and ends the fetch if so.
+// assertMayFetch checks the result of mayFetch, and ends the fetch that it has started.
 func assertMayFetch(t *testing.T, e *tableExchange, now time.Time, storeBad, want bool) {
 	t.Helper()
 	got := e.mayFetch(now, storeBad)
 	if got != want {
-		t.Errorf("may fetch: %v, want %v", got, want)
+		t.Errorf("mayFetch() = %v, want %v", got, want)
 	}
 	if got {
 		e.fetched()
@@ -20,16 +20,16 @@
 func TestMayFetch(t *testing.T) {
 	now := time.Now()
 	fetchTime := now.Add(fetchAfter)
-	t.Run("the store has time to begin", func(t *testing.T) {
+	t.Run("the store has fetchAfter to begin its answer", func(t *testing.T) {
 		var e tableExchange
 		assertMayFetch(t, &e, now, false, false)
 		assertMayFetch(t, &e, fetchTime.Add(-1), false, false)
 		assertMayFetch(t, &e, fetchTime, false, true)
 	})
-	t.Run("a store that does not answer is not waited for", func(t *testing.T) {
+	t.Run("no wait if the store is failing", func(t *testing.T) {
 		assertMayFetch(t, &tableExchange{}, now, true, true)
 	})
-	t.Run("what the store brings is not fetched", func(t *testing.T) {
+	t.Run("no fetch while the store sends the table", func(t *testing.T) {
 		var e tableExchange
 		assertMayFetch(t, &e, now, false, false)
 		e.setArriving(true)
@@ -37,7 +37,7 @@
 		e.setArriving(false)
 		assertMayFetch(t, &e, now.Add(time.Minute), false, true)
 	})
-	t.Run("one at a time", func(t *testing.T) {
+	t.Run("one fetch at a time", func(t *testing.T) {
 		e := tableExchange{fetching: true}
 		assertMayFetch(t, &e, now, true, false)
 	})
--- a/node/touch_test.go
+++ b/node/touch_test.go
@@ -7,26 +7,24 @@
 	"chutereach/rowstore/memory"
 )
 
-// recoveryLimit is how soon after the end of trouble at the store every node must be up to date
-// again: a call of the feed that began just before the end is given up after 2.5 s and made
-// again after 0.1 s. The shortest time that a deployment at hand allows is 3 s; these cases take
-// 0.01 to 1.98 s.
+// recoveryLimit bounds the time from the end of a store fault until all nodes are up to date. A call of the
+// feed that starts just before that end times out after 2.5 s and is repeated after 0.1 s.
 const recoveryLimit = 2700 * time.Millisecond
 
-// Soon after the store is well again every node has the newest configuration and an owner that
-// answers, whatever its trouble was and for however long.
+// After a store fault of any kind and duration, all nodes soon have the newest configuration and an
+// owner that answers.
 func TestNodesRecoverAfterStoreFault(t *testing.T) {
 	cases := []struct {
 		name        string
 		fault       memory.Fault
-		dropHistory bool // and its history is dropped meanwhile
+		dropHistory bool // the store drops its history during the fault
 	}{
-		{"refuses", memory.Fault{Refuse: true}, false},
-		{"is silent", memory.Fault{Silent: true}, false},
+		{"refuses calls", memory.Fault{Refuse: true}, false},
+		{"does not answer", memory.Fault{Silent: true}, false},
 		{"loses answers", memory.Fault{Mute: true}, false},
 		{"is slow", memory.Fault{Slow: 400 * time.Millisecond}, false},
-		{"refuses, and forgets its history", memory.Fault{Refuse: true}, true},
-		{"is silent, and forgets its history", memory.Fault{Silent: true}, true},
+		{"refuses calls and drops its history", memory.Fault{Refuse: true}, true},
+		{"does not answer and drops its history", memory.Fault{Silent: true}, true},
 	}
 	for _, test := range cases {
 		for _, duration := range []time.Duration{700 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
@@ -34,7 +32,7 @@
 				runInCell(t, 12, func(c *cell) {
 					c.setStoreFault(&test.fault)
 					time.Sleep(duration / 2)
-					c.writeConfiguration("while it is in trouble", 40)
+					c.writeConfiguration("during the fault", 40)
 					if test.dropHistory {
 						c.store.ForgetHistory()
 					}
@@ -51,7 +49,7 @@
 	}
 }
 
-// setStoreFault gives every node's way to the store a fault; nil ends it.
+// setStoreFault injects a fault into the store calls of all nodes, or clears it if fault is nil.
 func (c *cell) setStoreFault(fault *memory.Fault) {
 	for _, m := range c.nodes {
 		if fault == nil {
@@ -62,7 +60,7 @@
 	}
 }
 
-// assertOwnerAnswers waits until a call that only the owner can answer is answered at a node.
+// assertOwnerAnswers waits until a call through the node is answered by the owner.
 func (c *cell) assertOwnerAnswers(m *member, within time.Duration) {
 	c.t.Helper()
 	var err error
@@ -71,5 +69,5 @@
 			return
 		}
 	}
-	c.t.Errorf("%s: %v after %v", m.name, err, within)
+	c.t.Errorf("%s: got error %v after %v, want an answer from the owner", m.name, err, within)
 }
--- a/node/transfer_test.go
+++ b/node/transfer_test.go
@@ -10,11 +10,11 @@
 	"chutereach/rowstore/memory"
 )
 
-// slowLinkRate is the narrowest link of the deployments at hand, 10 Mbit/s.
+// slowLinkRate is 10 Mbit/s in bytes per second.
 const slowLinkRate = 10_000_000 / 8
 
-// limitLinks gives every node but the owner a limitLinks link, for the store and for other nodes
-// together, and returns the links by node.
+// limitLinks gives every node but the owner a link of the given rate in bytes per second, shared by its
+// traffic with the store and with other nodes, and returns the links by node.
 func (c *cell) limitLinks(rate int) map[*member]*peertest.Link {
 	links := map[*member]*peertest.Link{}
 	for _, m := range c.nodes {
@@ -28,7 +28,7 @@
 	return links
 }
 
-// writeConfiguration writes a configuration of so many routes more.
+// writeConfiguration writes a configuration row that adds a number of routes.
 func (c *cell) writeConfiguration(name string, routes int) {
 	c.t.Helper()
 	put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: name}, Value: make([]byte, routes*routeBytes)}
@@ -37,7 +37,7 @@
 	}
 }
 
-// assertConfigurationVersion waits until a version is in force at a node.
+// assertConfigurationVersion waits until a node has a configuration of at least the given version in force.
 func (c *cell) assertConfigurationVersion(m *member, version uint64, within time.Duration) {
 	c.t.Helper()
 	var got uint64
@@ -50,9 +50,8 @@
 	c.t.Errorf("%s has version %d after %v, want %d", m.name, got, within, version)
 }
 
-// The incident of 2026-12-02 (CONFIG): a configuration that had grown to 4,245 routes came
-// to nodes with narrow links piece by piece, from the store and, anew with each heartbeat,
-// from the owner, and no transfer ended within its limit.
+// A large configuration must reach nodes with slow links as about one copy. Concurrent transfers from
+// the store and the owner would share the link until each of them times out.
 func TestLargeConfigurationOverSlowLinks(t *testing.T) {
 	for _, routes := range []int{1400, 4200, 10_000, 25_000} {
 		t.Run(fmt.Sprintf("%d routes", routes), func(t *testing.T) {
@@ -69,7 +68,7 @@
 				for m := range links {
 					c.assertConfigurationVersion(m, 2, time.Until(end))
 				}
-				time.Sleep(transferTime) // for what is still on its way
+				time.Sleep(transferTime) // for transfers still in flight
 				for m, link := range links {
 					if got := link.Carried() - before[m]; got > 11*copyBytes/10+64<<10 {
 						t.Errorf("the link of %s carried %d bytes for a copy of %d", m.name, got, copyBytes)
@@ -80,20 +79,19 @@
 	}
 }
 
-// A node that the store turns away has the configuration from another node, however
-// narrow its link is.
+// A node that the store refuses fetches the configuration from another node, also over a slow link.
 func TestLargeConfigurationFetchedOverSlowLink(t *testing.T) {
 	runInCell(t, 3, func(c *cell) {
 		links := c.limitLinks(slowLinkRate)
 		for m := range links {
 			m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		}
-		time.Sleep(3 * time.Second) // until the calls of the feeds that are open have ended
+		time.Sleep(3 * time.Second) // until open feed calls have ended
 		c.writeConfiguration("x", 10_000)
 		for m, link := range links {
 			before := link.Carried()
 			c.assertConfigurationVersion(m, 2, 3*time.Second)
-			time.Sleep(2 * time.Second) // for what is still on its way
+			time.Sleep(2 * time.Second) // for transfers still in flight
 			if got, most := link.Carried()-before, 10_000*routeBytes; got > most {
 				t.Errorf("the link of %s carried %d bytes, want %d at most", m.name, got, most)
 			}
@@ -101,8 +99,7 @@
 	})
 }
 
-// A shard of any size can be read by its next owner: as long as rows come in, the reading
-// goes on.
+// A successor continues to load a shard as long as rows arrive, however long the load takes.
 func TestShardLoadsOverSlowLink(t *testing.T) {
 	runInCell(t, 3, func(c *cell) {
 		const jobs, bytes = 2000, 4000
@@ -132,6 +129,6 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Errorf("no job is accepted after %v: %v", time.Since(begun), err)
+		t.Errorf("no job accepted after %v: %v", time.Since(begun), err)
 	})
 }
