--- a/node/large_test.go
+++ b/node/large_test.go
@@ -7,39 +7,40 @@
 )
 
 const (
-	// largeCell has more nodes than an owner sends a heartbeat to at each turn.
+	// largeCell exceeds the number of nodes to which an owner sends every heartbeat.
 	largeCell = 60
-	// serveEvery picks the nodes that are asked to serve.
-	serveEvery = 7
+	// checkEvery is the step between the nodes that assertServesCalls checks.
+	checkEvery = 7
 )
 
-// Nodes that hear of their owner more seldom follow it all the same, serve callers, and
-// follow its successor after its loss.
-func TestFarNodesFollowTheOwner(t *testing.T) {
-	inCell(t, largeCell, func(c *cell) {
+// Nodes that receive heartbeats at a reduced rate still follow the owner, serve calls, and follow its
+// successor.
+func TestFarNodesFollowOwner(t *testing.T) {
+	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		if owner == nil {
 			t.Fatal("no node owns the shard")
 		}
 		time.Sleep(10 * time.Second)
 		if c.owner() != owner {
-			t.Errorf("%s lost the shard in a calm time", owner.name)
+			t.Errorf("%s lost the shard without a fault", owner.name)
 		}
-		assertServes(t, c, nil, "calm")
+		assertServesCalls(t, c, nil, "before")
 		c.stop(owner)
 		defer c.start(owner)
 		time.Sleep(3 * time.Second)
 		if c.owner() == nil {
-			t.Fatal("nobody owns the shard 3 s after its owner's loss")
+			t.Fatal("no node owns the shard 3 s after the owner stopped")
 		}
-		assertServes(t, c, owner, "after")
+		assertServesCalls(t, c, owner, "after")
 	})
 }
 
-// assertServes hands a job in at some nodes, but not at one that is down.
-func assertServes(t *testing.T, c *cell, down *member, prefix string) {
+// assertServesCalls checks that every checkEvery-th node is ready and that a job submitted through it
+// completes. It skips the node that is down.
+func assertServesCalls(t *testing.T, c *cell, down *member, prefix string) {
 	t.Helper()
-	for i := 0; i < len(c.nodes); i += serveEvery {
+	for i := 0; i < len(c.nodes); i += checkEvery {
 		m := c.nodes[i]
 		if m == down {
 			continue
@@ -52,6 +53,6 @@
 			t.Errorf("%s: %v", m.name, err)
 			continue
 		}
-		c.await(m, id, 3*time.Second)
+		c.awaitCompleted(m, id, 3*time.Second)
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -31,54 +31,52 @@
 
 var queue = workload.Queue{Name: "lookups", Service: service, Attempts: 3, Stretch: 1.5, Target: time.Second}
 
-// cell is some nodes, their network, their store and the workers.
+// cell is a set of nodes with a simulated network, store and workers.
 type cell struct {
-	t       *testing.T
-	ctx     context.Context
-	network *peertest.Network
-	store   *memory.Store
-	fleet   *fleettest.Fleet
-	nodes   []*member
-	owns    func(bool) // told by nodes that start from now on; nil: nobody is
-	wide    int        // how many of the nodes that are added have wide links and strong machines
-	// listing, if given, is called when a node begins to read the workers.
-	listing atomic.Pointer[func(*member)]
-	// evacuateWithin is for how long nodes that start from now on may start work in a data hall
-	// that is evacuated; 0: not bounded.
+	t           *testing.T
+	ctx         context.Context
+	network     *peertest.Network
+	store       *memory.Store
+	fleet       *fleettest.Fleet
+	nodes       []*member
+	onOwnership func(bool) // Config.Owns of the nodes that start next
+	fastLinks   int        // number of nodes, from the first, that have a fast link and a powerful machine
+	// onWorkerList, if set, is called when a node starts to list the workers.
+	onWorkerList atomic.Pointer[func(*member)]
+	// evacuateWithin is the scheduler's EvacuateWithin of the nodes that start next; 0 means no limit.
 	evacuateWithin time.Duration
 }
 
-// member is one node.
+// member is a node of a cell. A restart replaces the embedded Node.
 type member struct {
 	*node.Node
-	name    string
-	caller  *memory.Caller
-	servers *peer.PlainServer
-	kill    context.CancelFunc
-	done    chan struct{}
-	lives   int
-	// power and link are what its machine has, in cores and Mbit/s.
-	power, link float64
+	name        string
+	storeCaller *memory.Caller
+	server      *peer.PlainServer
+	kill        context.CancelFunc
+	done        chan struct{}
+	starts      int
+	// The power and link speed that the node reports for its machine; 0 if unknown.
+	cores, linkMbps float64
 }
 
-// anybody is a caller without an account, let in by a table that is newer than any other.
-var anybody = routing.Caller{Version: math.MaxUint64}
-
-// The member's calls are those of anybody.
+// anonymousCaller is a caller without an account. Its table version is the highest possible, so owners
+// do not check it again.
+var anonymousCaller = routing.Caller{Version: math.MaxUint64}
 
 func (m *member) Submit(ctx context.Context, id string, record workload.Record) error {
-	return m.Node.Submit(ctx, anybody, id, record)
+	return m.Node.Submit(ctx, anonymousCaller, id, record)
 }
 
 func (m *member) State(ctx context.Context, id string) (workload.State, error) {
-	return m.Node.State(ctx, anybody, id)
+	return m.Node.State(ctx, anonymousCaller, id)
 }
 
 func (m *member) Pending(ctx context.Context, queue string) (int, error) {
-	return m.Node.Pending(ctx, anybody, queue)
+	return m.Node.Pending(ctx, anonymousCaller, queue)
 }
 
-func inCell(t *testing.T, count int, test func(*cell)) {
+func runInCell(t *testing.T, count int, test func(*cell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -102,17 +100,17 @@
 	})
 }
 
-// start gives a node a new life.
+// start starts or restarts a node.
 func (c *cell) start(m *member) {
 	ctx, kill := context.WithCancel(c.ctx)
-	m.kill, m.done, m.caller = kill, make(chan struct{}), c.store.Caller()
-	m.lives++
-	caller := m.caller
+	m.kill, m.done, m.storeCaller = kill, make(chan struct{}), c.store.Caller()
+	m.starts++
+	caller := m.storeCaller
 	platform := node.Platform{
 		Store: caller, Workers: c.fleet, Advisor: c.fleet,
 		FollowWorkers: func(ctx context.Context, changed func([]fleet.Worker)) {
-			if listing := c.listing.Load(); listing != nil {
-				(*listing)(m)
+			if callback := c.onWorkerList.Load(); callback != nil {
+				(*callback)(m)
 			}
 			for ctx.Err() == nil {
 				changed(c.fleet.List())
@@ -123,19 +121,19 @@
 			var halls []string
 			reach.Current = func(version uint64, asOf clock.Instant) { evacuated(evacuation.NewView(halls, version, asOf)) }
 			rowstore.Follow(ctx, caller, "config", "", func(rows map[string]rowstore.Row) {
-				halls = hallsOf(rows)
-				changed(tableOf(rows))
+				halls = evacuatedHalls(rows)
+				changed(routingTable(rows))
 			}, reach)
 		},
 	}
 	config := node.Config{
-		Self:      node.Member{Node: m.name, Address: m.name, Hall: "h", Power: m.power, Link: m.link},
+		Self:      node.Member{Node: m.name, Address: m.name, Hall: "h", Power: m.cores, Link: m.linkMbps},
 		Scheduler: scheduler.Config{Shard: "main", Lease: fleettest.MostLease, KeepFinal: time.Minute, EvacuateWithin: c.evacuateWithin},
-		Owns:      c.owns,
+		Owns:      c.onOwnership,
 	}
 	m.Node = node.New(ctx, config, platform, peer.NewPlainClientOver(c.network.Dial(m.name)), node.NewMetrics(), zerolog.Nop())
-	m.servers = peer.NewPlainServer(c.network.Listen(m.name), m.Mux())
-	go m.servers.Serve()
+	m.server = peer.NewPlainServer(c.network.Listen(m.name), m.Mux())
+	go m.server.Serve()
 	done := m.done
 	go func() {
 		m.Run()
@@ -146,20 +144,20 @@
 // hallOf returns the data hall of a worker.
 func hallOf(worker int) string { return fmt.Sprintf("hall-%d", worker%2) }
 
-// stop ends a node's life at once.
+// stop kills a node without a handover.
 func (c *cell) stop(m *member) {
 	c.network.Kill(m.name)
-	m.servers.Close()
+	m.server.Close()
 	m.kill()
 	<-m.done
 }
 
-// addNodes starts a number of nodes.
+// addNodes adds nodes to the cell and starts them.
 func (c *cell) addNodes(count int) {
 	for i := range count {
 		m := &member{name: fmt.Sprintf("node-%d:80", i)} // HTTP adds port 80 to an address without one
-		if i < c.wide {
-			m.link, m.power = 1000, 1.6
+		if i < c.fastLinks {
+			m.linkMbps, m.cores = 1000, 1.6
 		}
 		c.nodes = append(c.nodes, m)
 		c.start(m)
@@ -171,7 +169,7 @@
 	return workload.Request{Spec: "s", Steps: []workload.Step{{Count: 2, Need: need, Estimate: time.Second}}}
 }
 
-// submit hands a job in at a node, once.
+// submit submits a job through a node, without retries.
 func (c *cell) submit(m *member, id string) error {
 	c.fleet.Know(id, fleettest.Kind{Request: request(), Attempts: 3})
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
@@ -179,8 +177,8 @@
 	return m.Submit(ctx, id, workload.Record{Request: request(), Queue: queue, Accepted: time.Now().UnixMilli()})
 }
 
-// await waits until a node shows a job as completed.
-func (c *cell) await(m *member, id string, within time.Duration) {
+// awaitCompleted waits until a node reports a job as completed.
+func (c *cell) awaitCompleted(m *member, id string, within time.Duration) {
 	c.t.Helper()
 	var state workload.State
 	var err error
@@ -190,10 +188,10 @@
 			return
 		}
 	}
-	c.t.Errorf("job %s is %q (%v) at %s after %v", id, state, err, m.name, within)
+	c.t.Errorf("job %s is %q (%v) at %s after %v, want completed", id, state, err, m.name, within)
 }
 
-// owner returns the node that owns the shard.
+// owner returns a node that owns the shard, or nil.
 func (c *cell) owner() *member {
 	for _, m := range c.nodes {
 		if m.Owns() {
@@ -203,25 +201,25 @@
 	return nil
 }
 
-// another returns a node other than one.
-func (c *cell) another(than *member) *member {
+// nodeOtherThan returns a node other than the excluded one.
+func (c *cell) nodeOtherThan(excluded *member) *member {
 	for _, m := range c.nodes {
-		if m != than {
+		if m != excluded {
 			return m
 		}
 	}
 	return nil
 }
 
-func TestEveryNodeServes(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestEveryNodeServesCalls(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		for i, m := range c.nodes {
 			id := fmt.Sprintf("job-%d", i)
 			if err := c.submit(m, id); err != nil {
 				t.Fatalf("%s: %v", m.name, err)
 			}
 			for _, other := range c.nodes {
-				c.await(other, id, 3*time.Second)
+				c.awaitCompleted(other, id, 3*time.Second)
 			}
 			if err := m.Ready(); err != nil {
 				t.Errorf("%s: %v", m.name, err)
@@ -230,92 +228,92 @@
 		var notJob *scheduler.UnknownJobError
 		for _, m := range c.nodes {
 			if _, err := m.State(c.ctx, "unknown"); !errors.As(err, &notJob) {
-				t.Errorf("%s: an unknown job: %v", m.name, err)
+				t.Errorf("%s: state of an unknown job: got error %v, want NotJobError", m.name, err)
 			}
 			if count, err := m.Pending(c.ctx, "lookups"); err != nil || count != 0 {
-				t.Errorf("%s: pending %d, %v", m.name, count, err)
+				t.Errorf("%s: Pending() = %d, %v; want 0, nil", m.name, count, err)
 			}
 		}
 	})
 }
 
-// ways are how an owner can be lost, and what brings it back.
-var ways = []struct {
+// ownerLosses are the faults after which another node must take over the shard.
+var ownerLosses = []struct {
 	name   string
-	lose   func(*cell, *member)
-	within time.Duration // until another node owns the shard
+	inject func(*cell, *member)
+	limit  time.Duration // for the takeover
 }{
-	{"it is killed", func(c *cell, m *member) { c.stop(m); c.start(m) }, 2 * time.Second},
-	{"its machine loses power", func(c *cell, m *member) {
+	{"killed and restarted", func(c *cell, m *member) { c.stop(m); c.start(m) }, 2 * time.Second},
+	{"machine loses power", func(c *cell, m *member) {
 		for _, other := range c.nodes {
 			c.network.Cut(m.name, other.name)
 			c.network.Cut(other.name, m.name)
 		}
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 	}, 3 * time.Second},
-	{"the store refuses it", func(_ *cell, m *member) {
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+	{"store refuses calls", func(_ *cell, m *member) {
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 	}, 3 * time.Second},
-	{"the store does not answer it", func(_ *cell, m *member) {
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+	{"store does not answer", func(_ *cell, m *member) {
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
 	}, 4 * time.Second},
-	{"it is short of processor time", func(_ *cell, m *member) {
-		time.Sleep(3 * time.Second) // a term is given time to settle
-		m.BeLate(time.Second)
+	{"lacks processor time", func(_ *cell, m *member) {
+		time.Sleep(3 * time.Second) // lag is ignored at the start of a term
+		m.AddTimerLag(time.Second)
 	}, time.Second},
-	{"it is stopped in order", func(c *cell, m *member) { m.Stop(c.ctx) }, 500 * time.Millisecond},
+	{"graceful stop", func(c *cell, m *member) { m.Stop(c.ctx) }, 500 * time.Millisecond},
 }
 
 func TestAnOwnerIsSucceeded(t *testing.T) {
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
-			inCell(t, 3, func(c *cell) {
+	for _, loss := range ownerLosses {
+		t.Run(loss.name, func(t *testing.T) {
+			runInCell(t, 3, func(c *cell) {
 				former := c.owner()
 				if err := c.submit(former, "before"); err != nil {
 					t.Fatal(err)
 				}
-				life := former.Node
-				way.lose(c, former)
+				formerNode := former.Node
+				loss.inject(c, former)
 				begun := time.Now()
-				for c.owner() == nil || c.owner().Node == life {
-					if time.Since(begun) > way.within {
-						t.Fatalf("no successor within %v", way.within)
+				for c.owner() == nil || c.owner().Node == formerNode {
+					if time.Since(begun) > loss.limit {
+						t.Fatalf("no other node owns the shard after %v", loss.limit)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
 				for _, m := range c.nodes {
 					if m != former {
-						c.await(m, "before", 12*time.Second)
+						c.awaitCompleted(m, "before", 12*time.Second)
 					}
 				}
 				if err := c.submit(c.owner(), "after"); err != nil {
 					t.Error(err)
 				}
-				c.await(c.owner(), "after", 5*time.Second)
+				c.awaitCompleted(c.owner(), "after", 5*time.Second)
 			})
 		})
 	}
 }
 
-func TestAJobIsServedThroughATakeover(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestJobSubmittedDuringTakeoverCompletes(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		former := c.owner()
-		var asked *member
+		var follower *member
 		for _, m := range c.nodes {
 			if m != former {
-				asked = m
+				follower = m
 			}
 		}
 		former.Stop(c.ctx)
-		if err := c.submit(asked, "job"); err != nil {
+		if err := c.submit(follower, "job"); err != nil {
 			t.Error(err)
 		}
-		c.await(asked, "job", 3*time.Second)
+		c.awaitCompleted(follower, "job", 3*time.Second)
 	})
 }
 
-func TestAllNodesStartAnewAtOnce(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestAllNodesRestartTogether(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		if err := c.submit(c.nodes[1], "job"); err != nil {
 			t.Fatal(err)
 		}
@@ -331,66 +329,66 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(begun); took > time.Second {
-			t.Errorf("no owner for %v after the start", took)
+			t.Errorf("no owner for %v after the restart, want 1s at most", took)
 		}
-		c.await(c.nodes[2], "job", 12*time.Second)
+		c.awaitCompleted(c.nodes[2], "job", 12*time.Second)
 	})
 }
 
-func TestWithoutAnOwnerTheRefusalSaysWhenToComeBack(t *testing.T) {
-	inCell(t, 1, func(c *cell) {
+func TestRefusalWithoutOwnerHasRetryAfter(t *testing.T) {
+	runInCell(t, 1, func(c *cell) {
 		m := c.nodes[0]
 		c.stop(m)
 		c.start(m)
-		m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		begun := time.Now()
 		err := c.submit(m, "job")
 		var overloaded *scheduler.RejectedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
-			t.Errorf("got %v, want to be told when to come back", err)
+			t.Errorf("got error %v, want OverloadedError with RetryAfter", err)
 		}
 		if took := time.Since(begun); took > 1500*time.Millisecond {
-			t.Errorf("refused after %v", took)
+			t.Errorf("refused after %v, want 1.5s at most", took)
 		}
-		m.caller.SetFault(nil)
+		m.storeCaller.SetFault(nil)
 		time.Sleep(3 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
-			t.Errorf("a refused job was started %d times", got)
+			t.Errorf("tasks of a refused job started %d times, want 0", got)
 		}
 	})
 }
 
-func TestANodeWithoutTheStoreHearsOfTheConfiguration(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
-		var apart *member
+func TestConfigurationReachesNodeWithoutStore(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
+		var disconnected *member
 		for _, m := range c.nodes {
 			if !m.Owns() {
-				apart = m
+				disconnected = m
 			}
 		}
-		apart.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		disconnected.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: "x"}, Value: []byte("x")}
 		if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if table, _ := apart.Routes(); table.Version != 2 {
-			t.Errorf("version %d is in force, want 2", table.Version)
+		if table, _ := disconnected.Routes(); table.Version != 2 {
+			t.Errorf("configuration version %d in force, want 2", table.Version)
 		}
 	})
 }
 
-func TestAllNodesShortOfProcessorTimeKeepTheirOwner(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+func TestNoHandoverWhenAllNodesLackProcessorTime(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		owner := c.owner()
 		for range 100 {
 			for _, m := range c.nodes {
-				m.BeLate(time.Second)
+				m.AddTimerLag(time.Second)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		if c.owner() != owner {
-			t.Error("the shard went to a node that is no better off")
+			t.Error("the owner lost the shard although no other node is less loaded")
 		}
 	})
 }
--- a/node/relayplan_test.go
+++ b/node/relayplan_test.go
@@ -9,12 +9,12 @@
 	"chutereach/evacuation"
 )
 
-// hallOfMembers returns members of one data hall, some with wide links.
-func hallOfMembers(hall string, wide, narrow int, link float64) []Member {
+// hallMembers returns the members of a data hall; the first ones have fast links of the given speed.
+func hallMembers(hall string, fast, slow int, link float64) []Member {
 	var members []Member
-	for i := range wide + narrow {
+	for i := range fast + slow {
 		member := Member{Node: fmt.Sprintf("%s-%03d", hall, i), Address: fmt.Sprintf("%s-%03d:1", hall, i), Hall: hall, Power: 0.2, Link: 20}
-		if i < wide {
+		if i < fast {
 			member.Power, member.Link = 1.6, link
 		}
 		members = append(members, member)
@@ -22,23 +22,23 @@
 	return members
 }
 
-func TestRelaysOfDataHalls(t *testing.T) {
+func TestPlanRelays(t *testing.T) {
 	cases := []struct {
-		name         string
-		wide, narrow int
-		link         float64
-		served       int // nodes that have a relay, the succession apart
+		name       string
+		fast, slow int
+		link       float64
+		served     int // nodes with a relay, without the succession
 	}{
-		{"a small hall", 3, 12, 1000, 0},
-		{"no wide links", 0, 90, 1000, 0},
-		{"links that are not known", 12, 90, 0, 0},
-		{"wide links", 12, 90, 1000, 98 - 9},
+		{"small hall", 3, 12, 1000, 0},
+		{"no fast links", 0, 90, 1000, 0},
+		{"unknown link speed", 12, 90, 0, 0},
+		{"fast links", 12, 90, 1000, 98 - 9},
 		{"links for 25 nodes each", 3, 40, 200, 41 - 11},
-		{"too few for all", 1, 90, 1000, 32},
+		{"too few relays", 1, 90, 1000, 32},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			members := hallOfMembers("h", test.wide, test.narrow, test.link)
+			members := hallMembers("h", test.fast, test.slow, test.link)
 			slices.SortFunc(members, Member.compare)
 			plan := planRelays(members, members[0].Node, func(Member) bool { return true })
 			assigned := plan.relays
@@ -47,26 +47,26 @@
 				followers[relay]++
 			}
 			for _, member := range members {
-				if most := followersOf(member); followers[member.Address] > most {
-					t.Errorf("%s serves %d nodes, want %d at most", member.Node, followers[member.Address], most)
+				if limit := followersOf(member); followers[member.Address] > limit {
+					t.Errorf("%s serves %d nodes, want %d at most", member.Node, followers[member.Address], limit)
 				}
 				if _, has := assigned[member.Node]; has && followers[member.Address] > 0 {
-					t.Errorf("%s is a relay and has one", member.Node)
+					t.Errorf("%s is a relay and is assigned one", member.Node)
 				}
 			}
 			if _, has := assigned[members[0].Node]; has || followers[members[0].Address] > 0 {
-				t.Error("the owner takes part")
+				t.Error("the owner is a relay or has one")
 			}
 			if test.served == 0 && len(assigned) > 0 {
-				t.Errorf("%d nodes have a relay, want none", len(assigned))
+				t.Errorf("%d nodes have a relay, want 0", len(assigned))
 			}
 			t.Logf("%d nodes, %d with a relay, %d relays", len(members), len(assigned), len(followers))
 		})
 	}
 }
 
-// A relay answers at once only with what is newer than its caller's.
-func TestWhatIsNewsForANode(t *testing.T) {
+// A relay answers at once only if its view of evacuations is newer than the caller's and differs from it.
+func TestOrdersCallLacks(t *testing.T) {
 	view := evacuation.NewView([]string{"north"}, 7, clock.Now())
 	for _, test := range []struct {
 		name string
@@ -79,17 +79,17 @@
 		{"a later view of other halls", ordersCall{Evacuations: 9}, false},
 	} {
 		if got := test.call.lacks(view); got != test.want {
-			t.Errorf("%s: news %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: lacks() = %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// Relays serve nodes of their own data hall once they are ready, and stay as they are while nobody
-// comes or goes.
-func TestRelaysStayInTheirHall(t *testing.T) {
+// Ready relays serve only nodes of their own data hall, and the assignment does not change while the
+// members stay the same.
+func TestPlanRelaysStaysInHallAndIsStable(t *testing.T) {
 	var members []Member
 	for _, hall := range []string{"a", "b", "c"} {
-		members = append(members, hallOfMembers(hall, 4, 40, 1000)...)
+		members = append(members, hallMembers(hall, 4, 40, 1000)...)
 	}
 	slices.SortFunc(members, Member.compare)
 	ready := func(member Member) bool { return member.Node != "b-000" }
@@ -99,12 +99,12 @@
 	}
 	for node, relay := range assigned {
 		if node[0] != relay[0] || relay == "b-000:1" {
-			t.Errorf("%s asks %s", node, relay)
+			t.Errorf("%s is assigned relay %s, want a ready relay of its own hall", node, relay)
 		}
 	}
 	for node, relay := range planRelays(members, "a-000", ready).relays {
 		if assigned[node] != relay {
-			t.Errorf("%s asks %s, and before %s", node, relay, assigned[node])
+			t.Errorf("%s is assigned relay %s in the second plan and %q in the first", node, relay, assigned[node])
 		}
 	}
 }
--- a/node/transfer_test.go
+++ b/node/transfer_test.go
@@ -10,12 +10,12 @@
 	"chutereach/rowstore/memory"
 )
 
-// narrowLink is the narrowest link of the deployments at hand, 10 Mbit/s.
-const narrowLink = 10_000_000 / 8
+// slowLinkRate is 10 Mbit/s in bytes per second.
+const slowLinkRate = 10_000_000 / 8
 
-// narrow gives every node but the owner a narrow link, for the store and for other nodes
-// together, and returns the links by node.
-func (c *cell) narrow(rate int) map[*member]*peertest.Link {
+// limitLinks gives every node but the owner a link of the given rate in bytes per second, shared by its
+// traffic with the store and with other nodes, and returns the links by node.
+func (c *cell) limitLinks(rate int) map[*member]*peertest.Link {
 	links := map[*member]*peertest.Link{}
 	for _, m := range c.nodes {
 		if m.Owns() {
@@ -23,13 +23,13 @@
 		}
 		links[m] = peertest.NewLink(rate)
 		c.network.SetLink(m.name, links[m])
-		m.caller.SetLink(links[m].Carry)
+		m.storeCaller.SetLink(links[m].Carry)
 	}
 	return links
 }
 
-// configure writes a configuration of so many routes more.
-func (c *cell) configure(name string, routes int) {
+// writeConfiguration writes a configuration row that adds a number of routes.
+func (c *cell) writeConfiguration(name string, routes int) {
 	c.t.Helper()
 	put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: name}, Value: make([]byte, routes*routeBytes)}
 	if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// assertInForce waits until a version is in force at a node.
-func (c *cell) assertInForce(m *member, version uint64, within time.Duration) {
+// assertConfigurationVersion waits until a node has a configuration of at least the given version in force.
+func (c *cell) assertConfigurationVersion(m *member, version uint64, within time.Duration) {
 	c.t.Helper()
 	var got uint64
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -50,26 +50,25 @@
 	c.t.Errorf("%s has version %d after %v, want %d", m.name, got, within, version)
 }
 
-// The incident of 2026-12-02 (CONFIG): a configuration that had grown to 4,245 routes came
-// to nodes with narrow links piece by piece, from the store and, anew with each heartbeat,
-// from the owner, and no transfer ended within its limit.
-func TestALargeConfigurationReachesNarrowNodes(t *testing.T) {
+// A large configuration must reach nodes with slow links as about one copy. Concurrent transfers from
+// the store and the owner would share the link until each of them times out.
+func TestLargeConfigurationOverSlowLinks(t *testing.T) {
 	for _, routes := range []int{1400, 4200, 10_000, 25_000} {
 		t.Run(fmt.Sprintf("%d routes", routes), func(t *testing.T) {
-			inCell(t, 4, func(c *cell) {
-				links := c.narrow(narrowLink)
+			runInCell(t, 4, func(c *cell) {
+				links := c.limitLinks(slowLinkRate)
 				before := map[*member]int{}
 				for m, link := range links {
 					before[m] = link.Carried()
 				}
-				c.configure("x", routes)
+				c.writeConfiguration("x", routes)
 				copyBytes := routes * routeBytes
-				needs := time.Duration(copyBytes) * time.Second / narrowLink
-				end := time.Now().Add(13*needs/10 + 200*time.Millisecond)
+				transferTime := time.Duration(copyBytes) * time.Second / slowLinkRate
+				end := time.Now().Add(13*transferTime/10 + 200*time.Millisecond)
 				for m := range links {
-					c.assertInForce(m, 2, time.Until(end))
+					c.assertConfigurationVersion(m, 2, time.Until(end))
 				}
-				time.Sleep(needs) // for what is still on its way
+				time.Sleep(transferTime) // for transfers still in flight
 				for m, link := range links {
 					if got := link.Carried() - before[m]; got > 11*copyBytes/10+64<<10 {
 						t.Errorf("the link of %s carried %d bytes for a copy of %d", m.name, got, copyBytes)
@@ -80,20 +79,19 @@
 	}
 }
 
-// A node that the store turns away has the configuration from another node, however
-// narrow its link is.
-func TestALargeConfigurationIsFetchedOverANarrowLink(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
-		links := c.narrow(narrowLink)
+// A node that the store refuses fetches the configuration from another node, also over a slow link.
+func TestLargeConfigurationFetchedOverSlowLink(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
+		links := c.limitLinks(slowLinkRate)
 		for m := range links {
-			m.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+			m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
 		}
-		time.Sleep(3 * time.Second) // until the calls of the feeds that are open have ended
-		c.configure("x", 10_000)
+		time.Sleep(3 * time.Second) // until open feed calls have ended
+		c.writeConfiguration("x", 10_000)
 		for m, link := range links {
 			before := link.Carried()
-			c.assertInForce(m, 2, 3*time.Second)
-			time.Sleep(2 * time.Second) // for what is still on its way
+			c.assertConfigurationVersion(m, 2, 3*time.Second)
+			time.Sleep(2 * time.Second) // for transfers still in flight
 			if got, most := link.Carried()-before, 10_000*routeBytes; got > most {
 				t.Errorf("the link of %s carried %d bytes, want %d at most", m.name, got, most)
 			}
@@ -101,10 +99,9 @@
 	})
 }
 
-// A shard of any size can be read by its next owner: as long as rows come in, the reading
-// goes on.
-func TestAShardIsReadOverANarrowLink(t *testing.T) {
-	inCell(t, 3, func(c *cell) {
+// A successor continues to load a shard as long as rows arrive, however long the load takes.
+func TestShardLoadsOverSlowLink(t *testing.T) {
+	runInCell(t, 3, func(c *cell) {
 		const jobs, bytes = 2000, 4000
 		for first := 0; first < jobs; first += rowstore.MaxEntries {
 			var puts []rowstore.Put
@@ -117,7 +114,7 @@
 			}
 		}
 		former := c.owner()
-		c.narrow(narrowLink)
+		c.limitLinks(slowLinkRate)
 		c.stop(former)
 		defer c.start(former)
 		begun := time.Now()
@@ -132,6 +129,6 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Errorf("no job is accepted after %v: %v", time.Since(begun), err)
+		t.Errorf("no job accepted after %v: %v", time.Since(begun), err)
 	})
 }
