--- a/account/account.go
+++ b/account/account.go
@@ -29,9 +29,9 @@
 
 func withinLimit(n, bound int64) bool { return bound == 0 || n <= bound }
 
-// Fitting returns the number of further tasks, at most limit, that an account may start when it
+// AdditionalTasks returns the number of further tasks, at most limit, that an account may start when it
 // already uses used and each task needs need. Resources that a task does not need are ignored.
-func (q Quota) Fitting(used, need resource.Amount, limit int) int {
+func (q Quota) AdditionalTasks(used, need resource.Amount, limit int) int {
 	count := int64(limit)
 	count = min(count, additional(int64(q.CPU), int64(used.CPU), int64(need.CPU)))
 	count = min(count, additional(int64(q.Memory), int64(used.Memory), int64(need.Memory)))
--- a/account/account_test.go
+++ b/account/account_test.go
@@ -26,7 +26,7 @@
 		used := amount(t, "used", 0, 30)
 		need := amount(t, "need", 0, 7)
 		limit := rapid.IntRange(0, 9).Draw(t, "limit")
-		got := quota.Fitting(used, need, limit)
+		got := quota.AdditionalTasks(used, need, limit)
 		if got < 0 || got > limit {
 			t.Fatalf("%d additional tasks, want 0 to %d", got, limit)
 		}
@@ -60,7 +60,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.quota.Fitting(test.used, need, 5); got != test.want {
+			if got := test.quota.AdditionalTasks(test.used, need, 5); got != test.want {
 				t.Errorf("%d additional tasks, want %d", got, test.want)
 			}
 		})
@@ -81,7 +81,7 @@
 			t.Errorf("key %q: got account %q, want %q", test.key, got.Name, test.want)
 		}
 	}
-	if got, _ := d.Named("a"); got.Weight != 1 {
+	if got, _ := d.ByName("a"); got.Weight != 1 {
 		t.Errorf("account a has terms %+v, want those of the first account of that name", got)
 	}
 	if _, known := (account.Directory{}).ByKey(account.DigestOf("k1")); known || d.Len() != 2 {
--- a/account/directory.go
+++ b/account/directory.go
@@ -34,8 +34,8 @@
 	return terms, ok
 }
 
-// Named returns the terms of the account with the given name.
-func (d Directory) Named(name string) (Terms, bool) {
+// ByName returns the terms of the account with the given name.
+func (d Directory) ByName(name string) (Terms, bool) {
 	terms, ok := d.byName[name]
 	return terms, ok
 }
--- a/box/box.go
+++ b/box/box.go
@@ -70,7 +70,7 @@
 
 func cannotListen(set *settings.Settings, key, address string, cause error) error {
 	text := fmt.Sprintf("cannot listen on %s: %v", address, reason(cause))
-	return &ListenError{set.Fault("box", key, text), cause}
+	return &ListenError{set.OptionError("box", key, text), cause}
 }
 
 // reason returns the innermost cause of a network error: the outer ones repeat
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -73,16 +73,16 @@
 	directory := platform.NewDirectory(d.store, logs.For(log, logs.Store))
 	metrics := node.NewMetrics()
 	d.node = node.New(ctx, node.Config{
-		Self: node.Member{Node: set.Self.Name, Address: set.Self.Peer, Hall: set.Self.Hall, Power: set.Self.Power, Link: set.Self.Link},
+		Self: node.Member{Node: set.Self.Name, Address: set.Self.Peer, Hall: set.Self.Hall, Cores: set.Self.Power, LinkMbps: set.Self.Link},
 		Scheduler: scheduler.Config{
-			Shard: shard, Lease: set.LeaseInForce(), LongestLease: set.Times.LongestLease, KeepFinal: set.Times.KeepFinal,
+			Shard: shard, Lease: set.EffectiveLease(), LongestLease: set.Times.LongestLease, KeepFinal: set.Times.KeepFinal,
 			PartitionWrites: set.Store.PartitionWrites, EvacuateWithin: set.Times.Evacuate,
 			WorkerTimes: scheduler.WorkerTimes{Stop: set.Worker.Stop, Restore: set.Worker.Restore}, RemoteFactor: set.Worker.RemoteFactor,
 		},
-		Owns: collectFor,
+		OnOwnershipChange: collectFor,
 	}, node.Platform{
 		Store: d.store, Workers: platform.NewWorkers().WithMost(workerConnections(set.Self.Descriptors)), Advisor: d.advisor,
-		FollowWorkers: directory.FollowWorkers, FollowOrders: directory.FollowOrders,
+		FollowWorkers: directory.FollowWorkers, FollowOrders: directory.FollowOperator,
 	}, peer.NewPlainClient(), metrics, logs.For(log, logs.Node))
 	return d, d.listen(metrics, directory.Var(), missed)
 }
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -33,8 +33,8 @@
 // Version returns the version of the store's rows.
 func (v View) Version() uint64 { return v.version }
 
-// Covers reports whether a data hall is evacuated.
-func (v View) Covers(hall string) bool {
+// Contains reports whether a data hall is evacuated.
+func (v View) Contains(hall string) bool {
 	_, found := slices.BinarySearch(v.halls, hall)
 	return found
 }
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -16,12 +16,12 @@
 		if age, known := view.Age(clock.Now()); !known || age < time.Second {
 			t.Errorf("age %v, known %v, want at least 1s, true", age, known)
 		}
-		if halls := view.Halls(); len(halls) != 2 || !view.Covers("north") || !view.Covers("south") || view.Covers("nort") {
+		if halls := view.Halls(); len(halls) != 2 || !view.Contains("north") || !view.Contains("south") || view.Contains("nort") {
 			t.Errorf("halls %v, want north and south", halls)
 		}
 	})
 	var zero evacuation.View
-	if _, known := zero.Age(clock.Now()); known || zero.Covers("") || !zero.Empty() {
+	if _, known := zero.Age(clock.Now()); known || zero.Contains("") || !zero.Empty() {
 		t.Error("the zero View has an age or halls, want neither")
 	}
 }
--- a/fit/fit.go
+++ b/fit/fit.go
@@ -21,37 +21,37 @@
 	remoteSlowdownWeight = 8.0
 )
 
-// Place describes a worker with room for a task.
-type Place struct {
-	// Capacity is the worker's total capacity, and Left what remains free with the task placed.
-	Capacity, Left resource.Amount
-	// FailedHere reports whether the latest failure of the task was on this worker.
-	FailedHere bool
-	// Unsound reports whether the worker is rated unhealthy. Failures is the estimated fraction
+// Candidate describes a worker with room for a task.
+type Candidate struct {
+	// Capacity is the worker's total capacity, and Remaining what remains free with the task placed.
+	Capacity, Remaining resource.Amount
+	// FailedSameTask reports whether the latest failure of the task was on this worker.
+	FailedSameTask bool
+	// Unhealthy reports whether the worker is rated unhealthy. Failures is the estimated fraction
 	// of attempts on it that fail.
-	Unsound  bool
-	Failures float64
-	// Slowness is the relative increase in run time over the fleet; at 1 tasks take twice as
+	Unhealthy   bool
+	FailureRate float64
+	// Slowdown is the relative increase in run time over the fleet; at 1 tasks take twice as
 	// long.
-	Slowness float64
-	// Remote is the relative increase in run time caused by remote input data; 0 if the data is
+	Slowdown float64
+	// RemoteSlowdown is the relative increase in run time caused by remote input data; 0 if the data is
 	// near or the task has none.
-	Remote float64
+	RemoteSlowdown float64
 }
 
 // Score rates a worker for a task. Lower is better.
-func Score(c Place) float64 {
-	score := share(int64(c.Left.CPU), int64(c.Capacity.CPU)) + share(int64(c.Left.Memory), int64(c.Capacity.Memory))
-	score += remoteSlowdownWeight * math.Max(0, c.Remote)
-	score += failureRateWeight * c.Failures
-	if c.Unsound {
+func Score(c Candidate) float64 {
+	score := share(int64(c.Remaining.CPU), int64(c.Capacity.CPU)) + share(int64(c.Remaining.Memory), int64(c.Capacity.Memory))
+	score += remoteSlowdownWeight * math.Max(0, c.RemoteSlowdown)
+	score += failureRateWeight * c.FailureRate
+	if c.Unhealthy {
 		score += unhealthyPenalty
 	}
-	if c.FailedHere {
+	if c.FailedSameTask {
 		score += sameTaskFailurePenalty
 	}
-	if c.Slowness > slowdownTolerance {
-		score += slowdownWeight * c.Slowness
+	if c.Slowdown > slowdownTolerance {
+		score += slowdownWeight * c.Slowdown
 	}
 	return score
 }
--- a/fit/fit_test.go
+++ b/fit/fit_test.go
@@ -23,8 +23,8 @@
 	return min(int(free.CPU/gangTask.CPU), int(free.Memory/gangTask.Memory))
 }
 
-func candidateOn(free, need resource.Amount) fit.Place {
-	return fit.Place{Capacity: workerCapacity, Left: free.Minus(need)}
+func candidateOn(free, need resource.Amount) fit.Candidate {
+	return fit.Candidate{Capacity: workerCapacity, Remaining: free.Minus(need)}
 }
 
 func TestScoreOrder(t *testing.T) {
@@ -33,10 +33,10 @@
 	}
 	healthy := candidateOn(free(32_000), smallTask)
 	unhealthy, failing, slow, remote := healthy, healthy, healthy, healthy
-	unhealthy.Unsound, failing.Failures, slow.Slowness, remote.Remote = true, 0.5, 1, 0.5
+	unhealthy.Unhealthy, failing.FailureRate, slow.Slowdown, remote.RemoteSlowdown = true, 0.5, 1, 0.5
 	cases := []struct {
 		name          string
-		better, worse fit.Place
+		better, worse fit.Candidate
 	}{
 		{"fuller worker before emptier worker", candidateOn(free(7_000), smallTask), candidateOn(free(8_000), smallTask)},
 		{"empty worker before unhealthy worker", healthy, unhealthy},
@@ -57,7 +57,7 @@
 	local := candidateOn(workerCapacity, smallTask)
 	for _, test := range []struct{ remote, want float64 }{{0, 0}, {0.5, 4}, {2, 16}, {-1, 0}} {
 		candidate := local
-		candidate.Remote = test.remote
+		candidate.RemoteSlowdown = test.remote
 		if got := fit.Score(candidate) - fit.Score(local); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("penalty for remote slowdown %v = %v, want %v", test.remote, got, test.want)
 		}
@@ -66,7 +66,7 @@
 
 // meanGangSlots simulates small tasks that start and end on a set of workers, with placement
 // by the lowest score, and returns the mean number of gang tasks that the cluster has room for.
-func meanGangSlots(seed uint64, score func(fit.Place) float64) float64 {
+func meanGangSlots(seed uint64, score func(fit.Candidate) float64) float64 {
 	const (
 		workers = 60
 		running = 250 // tasks, which use about half of the CPUs
@@ -119,7 +119,7 @@
 // placement on the emptiest worker.
 func TestScoreKeepsRoomForGangs(t *testing.T) {
 	const minGangSlots = 80
-	emptiest := func(p fit.Place) float64 { return -fit.Score(p) }
+	emptiest := func(p fit.Candidate) float64 { return -fit.Score(p) }
 	for seed := range uint64(3) {
 		packed, spread := meanGangSlots(seed, fit.Score), meanGangSlots(seed, emptiest)
 		if packed < minGangSlots || packed < spread {
--- a/fleet/fleettest/judge.go
+++ b/fleet/fleettest/judge.go
@@ -70,16 +70,16 @@
 	if !w.holds(used, f.grace) {
 		f.breaks("%s brings %s over its capacity", task, w.info.ID)
 	}
-	if step.PerWorker > 0 && same > step.PerWorker {
+	if step.MaxPerWorker > 0 && same > step.MaxPerWorker {
 		f.breaks("%s is one of %d of its step on %s", task, same, w.info.ID)
 	}
-	if !w.info.HasLabel(step.Label) {
-		f.breaks("%s was started on %s, which has not the label %s", task, w.info.ID, step.Label)
+	if !w.info.HasLabel(step.RequiredLabel) {
+		f.breaks("%s was started on %s, which has not the label %s", task, w.info.ID, step.RequiredLabel)
 	}
 	if owner, _, saved := strings.Cut(order.Checkpoint, "@"); saved && owner != task.StepName() {
 		f.breaks("%s was given the checkpoint %s", task, order.Checkpoint)
 	}
-	for _, earlier := range step.After {
+	for _, earlier := range step.DependsOn {
 		for index := range kind.Request.Steps[earlier].Count {
 			before := workload.TaskID{Job: task.Job, Round: task.Round, Step: earlier, Index: index}
 			if !f.endedDone(before.String()) {
--- a/hall/decide.go
+++ b/hall/decide.go
@@ -90,14 +90,14 @@
 // choose returns the worker for the job's next task. The caller holds u.mu.
 func (u *Unit) choose(j *jobState) (provider.Worker, bool) {
 	tm := &j.job.Template
-	ask := placement.Ask{Need: tm.Need, Tolerates: tm.Tolerates, Affinity: tm.Affinity, Avoid: tm.Avoid}
+	ask := placement.Request{Need: tm.Need, Tolerations: tm.Tolerates, Affinity: tm.Affinity, AntiAffinity: tm.Avoid}
 	if tm.Form == config.FormService && len(j.tasks) > 1 {
-		ask.Crowd = func(w provider.Worker) (int, int) { return j.crowd[w.Name], j.crowd[rackKey(w)] }
+		ask.SiblingCounts = func(w provider.Worker) (int, int) { return j.crowd[w.Name], j.crowd[rackKey(w)] }
 	}
 	if j.job.Scoring == config.ScorePacking {
-		return placement.Choose(u.index, placement.Packing{}, ask)
+		return placement.Choose(u.index, placement.BinPack{}, ask)
 	}
-	return placement.Choose(u.index, placement.Waiting{}, ask)
+	return placement.Choose(u.index, placement.Spread{}, ask)
 }
 
 // rackKey is a rack among a job's counts, which are kept by worker too.
--- a/headroom/demand.go
+++ b/headroom/demand.go
@@ -72,33 +72,33 @@
 	return count
 }
 
-// Gaps counts the room for gang tasks on all workers of a service at a point in time.
-type Gaps struct {
+// Slots counts the room for gang tasks on all workers of a service at a point in time.
+type Slots struct {
 	Demand Demand
 	Free   int // gang tasks that fit into the free room
 	target int // gang tasks expected to arrive within the horizon
 }
 
-// GapsAt returns the count for the demand at a point in time, with no workers counted yet.
-func (d Demand) GapsAt(now time.Time) Gaps {
-	return Gaps{Demand: d, target: int(d.Rate(now) * horizon.Seconds())}
+// SlotsAt returns the count for the demand at a point in time, with no workers counted yet.
+func (d Demand) SlotsAt(now time.Time) Slots {
+	return Slots{Demand: d, target: int(d.Rate(now) * horizon.Seconds())}
 }
 
-// WithRoom adds the free room of a worker.
-func (g Gaps) WithRoom(free resource.Amount) Gaps {
+// WithWorker adds the free room of a worker.
+func (g Slots) WithWorker(free resource.Amount) Slots {
 	g.Free += g.Demand.SlotsIn(free)
 	return g
 }
 
-// WithTaken updates the count after the free room of one worker has changed.
-func (g Gaps) WithTaken(before, after resource.Amount) Gaps {
+// WithAllocation updates the count after the free room of one worker has changed.
+func (g Slots) WithAllocation(before, after resource.Amount) Slots {
 	g.Free -= g.Demand.SlotsIn(before) - g.Demand.SlotsIn(after)
 	return g
 }
 
-// Keeps reports whether the room that a task would take on a worker is reserved for gangs. Room is
+// Reserves reports whether the room that a task would take on a worker is reserved for gangs. Room is
 // reserved only from queues of lower priority than the gangs' queue.
-func (g Gaps) Keeps(priority int, before, after resource.Amount) bool {
+func (g Slots) Reserves(priority int, before, after resource.Amount) bool {
 	if priority <= g.Demand.priority {
 		return false
 	}
--- a/headroom/demand_test.go
+++ b/headroom/demand_test.go
@@ -54,16 +54,16 @@
 	const workers = 100
 	d, now := steadyDemand(30 * time.Second)
 	placeAll := func(priority int) (placed, slots int) {
-		g := d.GapsAt(now)
+		g := d.SlotsAt(now)
 		free := make([]resource.Amount, workers)
 		for i := range free {
 			free[i] = wholeWorker
-			g = g.WithRoom(wholeWorker)
+			g = g.WithWorker(wholeWorker)
 		}
 		for i := range free {
-			for smallTask.Fits(free[i]) && !g.Keeps(priority, free[i], free[i].Minus(smallTask)) {
+			for smallTask.Fits(free[i]) && !g.Reserves(priority, free[i], free[i].Minus(smallTask)) {
 				after := free[i].Minus(smallTask)
-				g = g.WithTaken(free[i], after)
+				g = g.WithAllocation(free[i], after)
 				free[i] = after
 				placed++
 			}
@@ -83,13 +83,13 @@
 	d, now := steadyDemand(5 * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
 		free := wholeWorker
-		g := d.GapsAt(now).WithRoom(free)
+		g := d.SlotsAt(now).WithWorker(free)
 		for range rapid.IntRange(0, 12).Draw(t, "tasks") {
 			after := free.Minus(resource.Amount{CPU: resource.MilliCPU(rapid.IntRange(0, 9000).Draw(t, "cpu")), Memory: gigabyte})
-			g = g.WithTaken(free, after)
+			g = g.WithAllocation(free, after)
 			free = after
 		}
-		if want := d.GapsAt(now).WithRoom(free).Free; g.Free != want {
+		if want := d.SlotsAt(now).WithWorker(free).Free; g.Free != want {
 			t.Fatalf("%d slots, want %d", g.Free, want)
 		}
 	})
--- a/leadership/commit.go
+++ b/leadership/commit.go
@@ -220,7 +220,7 @@
 		sent := time.Now()
 		callCtx, cancel := context.WithTimeout(ctx, callStallLimit)
 		defer cancel()
-		seen, err := Look(callCtx, c.term.store, c.term.shard)
+		seen, err := ReadOwner(callCtx, c.term.store, c.term.shard)
 		got := result{isRead: true, err: err, took: time.Since(sent)}
 		if err == nil && seen.Version != c.transaction.Conditions[0].Version {
 			got.version, got.err = c.resolve(seen)
@@ -246,7 +246,7 @@
 
 // resolve determines the outcome of the transaction from the owner's row, whose version has
 // changed.
-func (c *commit) resolve(seen Sighting) (uint64, error) {
+func (c *commit) resolve(seen ObservedRow) (uint64, error) {
 	if seen.Row == c.nextRow {
 		return seen.Version, nil
 	}
--- a/leadership/leadership.go
+++ b/leadership/leadership.go
@@ -34,36 +34,36 @@
 	Sequence uint64 `cbor:"4,keyasint"` // number of the owner's transactions in this term
 }
 
-// Sighting is an owner's row as read from the store. Version 0 means that the shard has never had
+// ObservedRow is an owner's row as read from the store. Version 0 means that the shard has never had
 // an owner.
-type Sighting struct {
+type ObservedRow struct {
 	Row
 	Version uint64
-	// Since is when the row was first seen at this version, by the reader's clock. The owner sent
+	// FirstSeen is when the row was first seen at this version, by the reader's clock. The owner sent
 	// its last applied transaction before then.
-	Since time.Time
+	FirstSeen time.Time
 }
 
 func ownerKey(shard string) rowstore.Key {
 	return rowstore.Key{Table: table, Partition: shard, Name: rowName}
 }
 
-// Look reads the owner's row of a shard.
-func Look(ctx context.Context, store rowstore.Store, shard string) (Sighting, error) {
+// ReadOwner reads the owner's row of a shard.
+func ReadOwner(ctx context.Context, store rowstore.Store, shard string) (ObservedRow, error) {
 	row, err := rowstore.ReadOne(ctx, store, ownerKey(shard))
 	if err != nil {
-		return Sighting{}, err
+		return ObservedRow{}, err
 	}
 	return decodeRow(row)
 }
 
-func decodeRow(row rowstore.Row) (Sighting, error) {
-	seen := Sighting{Version: row.Version, Since: time.Now()}
+func decodeRow(row rowstore.Row) (ObservedRow, error) {
+	seen := ObservedRow{Version: row.Version, FirstSeen: time.Now()}
 	if row.Version == 0 {
 		return seen, nil
 	}
 	if err := codec.Unmarshal(row.Value, &seen.Row); err != nil {
-		return Sighting{}, &RowError{err}
+		return ObservedRow{}, &RowError{err}
 	}
 	return seen, nil
 }
@@ -76,10 +76,10 @@
 func (e *RowError) Unwrap() error { return e.Cause }
 
 // DeposedError reports that another node now owns the shard.
-type DeposedError struct{ By Sighting }
+type DeposedError struct{ Owner ObservedRow }
 
 func (e *DeposedError) Error() string {
-	return fmt.Sprintf("shard is owned by node %s as of row version %d", e.By.Node, e.By.Version)
+	return fmt.Sprintf("shard is owned by node %s as of row version %d", e.Owner.Node, e.Owner.Version)
 }
 
 // Term is one node's ownership of a shard. Commit must not be called concurrently; the other
@@ -107,11 +107,11 @@
 	restoredAt clock.Atomic
 }
 
-// Take makes a node the owner of a shard, provided that the row has not changed since it was seen.
+// Acquire makes a node the owner of a shard, provided that the row has not changed since it was seen.
 // It returns a DeposedError if another node has become the owner.
-func Take(ctx context.Context, store rowstore.Store, shard, node, address string, seen Sighting) (*Term, error) {
+func Acquire(ctx context.Context, store rowstore.Store, shard, node, address string, seen ObservedRow) (*Term, error) {
 	term := &Term{
-		store: store, shard: shard, version: seen.Version, formerSentBefore: seen.Since, answerTimeout: minAnswerTimeout, largeStall: maxLargeStall,
+		store: store, shard: shard, version: seen.Version, formerSentBefore: seen.FirstSeen, answerTimeout: minAnswerTimeout, largeStall: maxLargeStall,
 		row: Row{Node: node, Address: address, Term: xid.New().String()},
 	}
 	if err := term.Commit(ctx, nil, nil); err != nil {
@@ -127,18 +127,18 @@
 // Token returns the fencing token of the term.
 func (r *Term) Token() uint64 { return r.token }
 
-// Confirmed returns the version of the owner's row written by the last transaction known to be
+// ConfirmedVersion returns the version of the owner's row written by the last transaction known to be
 // applied. It is at least the token, and less than the token of any successor.
-func (r *Term) Confirmed() uint64 { return r.confirmed.Load() }
+func (r *Term) ConfirmedVersion() uint64 { return r.confirmed.Load() }
 
-// FormerSuccess returns an upper bound of the time at which the previous owner sent its last
+// FormerSentBefore returns an upper bound of the time at which the previous owner sent its last
 // applied transaction.
-func (r *Term) FormerSuccess() time.Time { return r.formerSentBefore }
+func (r *Term) FormerSentBefore() time.Time { return r.formerSentBefore }
 
-// Unconfirmed returns the time since the last applied transaction was first sent, including time
+// SinceLastCommit returns the time since the last applied transaction was first sent, including time
 // during which the machine was suspended. A successor may have acquired the shard in that time,
 // and computes the expiry of leases from the last transaction that it saw.
-func (r *Term) Unconfirmed() time.Duration { return r.lastCommitSent.Load().Since() }
+func (r *Term) SinceLastCommit() time.Duration { return r.lastCommitSent.Load().Since() }
 
 // FailingSince returns when the store stopped answering, or the zero time if it answers. A slow
 // store does not count as failing.
--- a/leadership/leadership_test.go
+++ b/leadership/leadership_test.go
@@ -23,11 +23,11 @@
 
 func take(t *testing.T, store rowstore.Store, node string) *leadership.Term {
 	t.Helper()
-	seen, err := leadership.Look(t.Context(), store, shard)
+	seen, err := leadership.ReadOwner(t.Context(), store, shard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	term, err := leadership.Take(t.Context(), store, shard, node, node+":1", seen)
+	term, err := leadership.Acquire(t.Context(), store, shard, node, node+":1", seen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 		store := memory.New()
 		last := uint64(0)
 		for _, node := range []string{"a", "b", "a", "a"} {
-			term := take(t, store.Caller(), node)
+			term := take(t, store.NewClient(), node)
 			if term.Token() <= last {
 				t.Errorf("token %d after %d", term.Token(), last)
 			}
@@ -62,18 +62,18 @@
 func TestTakesOfSameRowHaveOneWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		seen, err := leadership.Look(t.Context(), store, shard)
+		seen, err := leadership.ReadOwner(t.Context(), store, shard)
 		if err != nil {
 			t.Fatal(err)
 		}
 		won := 0
 		for _, node := range []string{"a", "b"} {
-			_, err := leadership.Take(t.Context(), store.Caller(), shard, node, node, seen)
+			_, err := leadership.Acquire(t.Context(), store.NewClient(), shard, node, node, seen)
 			var deposed *leadership.DeposedError
 			switch {
 			case err == nil:
 				won++
-			case !errors.As(err, &deposed) || deposed.By.Node != "a":
+			case !errors.As(err, &deposed) || deposed.Owner.Node != "a":
 				t.Errorf("%s: %v", node, err)
 			}
 		}
@@ -86,10 +86,10 @@
 func TestDeposedOwnerWritesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		former := take(t, store.Caller(), "a")
-		take(t, store.Caller(), "b")
+		former := take(t, store.NewClient(), "a")
+		take(t, store.NewClient(), "b")
 		var deposed *leadership.DeposedError
-		if err := former.Commit(t.Context(), progress("former"), nil); !errors.As(err, &deposed) || deposed.By.Node != "b" {
+		if err := former.Commit(t.Context(), progress("former"), nil); !errors.As(err, &deposed) || deposed.Owner.Node != "b" {
 			t.Errorf("got error %v, want DeposedError naming node b", err)
 		}
 		if got := value(store); got != "" {
@@ -105,16 +105,16 @@
 		name  string
 		fault memory.Fault
 	}{
-		{"done, answer lost", memory.Fault{Mute: true}},
-		{"not done, no answer", memory.Fault{Silent: true}},
-		{"refused", memory.Fault{Refuse: true}},
-		{"done seconds later", memory.Fault{Late: 3 * time.Second}},
+		{"done, answer lost", memory.Fault{DropResponse: true}},
+		{"not done, no answer", memory.Fault{DropRequest: true}},
+		{"refused", memory.Fault{Reject: true}},
+		{"done seconds later", memory.Fault{ApplyDelay: 3 * time.Second}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
-				caller := store.Caller()
+				caller := store.NewClient()
 				term := take(t, caller, "a")
 				writes := 0
 				caller.SetFault(func(write bool) memory.Fault {
@@ -149,12 +149,12 @@
 
 func TestFailingSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		caller := memory.New().Caller()
+		caller := memory.New().NewClient()
 		term := take(t, caller, "a")
 		if !term.FailingSince().IsZero() {
 			t.Error("store counts as failing after a successful take")
 		}
-		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		begun := time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -176,9 +176,9 @@
 	for _, outage := range []time.Duration{time.Second, 4200 * time.Millisecond, 9 * time.Second} {
 		t.Run(outage.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				caller := memory.New().Caller()
+				caller := memory.New().NewClient()
 				term := take(t, caller, "a")
-				caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+				caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 				time.AfterFunc(outage, func() { caller.SetFault(nil) })
 				begun := time.Now()
 				if err := term.Commit(t.Context(), progress("x"), nil); err != nil {
@@ -197,15 +197,15 @@
 	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(slow.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				caller := memory.New().Caller()
+				caller := memory.New().NewClient()
 				term := take(t, caller, "a")
 				writes := 0
 				caller.SetFault(func(write bool) memory.Fault {
 					if write {
 						writes++
-						return memory.Fault{Slow: slow}
+						return memory.Fault{Delay: slow}
 					}
-					return memory.Fault{Slow: slow / 2}
+					return memory.Fault{Delay: slow / 2}
 				})
 				for range 3 {
 					if err := term.Commit(t.Context(), progress("x"), nil); err != nil {
@@ -229,7 +229,7 @@
 		t.Run(fmt.Sprintf("%d bytes a second", rate), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New()
-				caller := store.Caller()
+				caller := store.NewClient()
 				term := take(t, caller, "a")
 				link := peertest.NewLink(rate)
 				caller.SetUplink(link.Carry)
@@ -255,9 +255,9 @@
 // A transaction whose answer is lost must be found applied by reading the owner's row.
 func TestLostAnswerIsReadFromRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		caller := memory.New().Caller()
+		caller := memory.New().NewClient()
 		term := take(t, caller, "a")
-		caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Mute: write} })
+		caller.SetFault(func(write bool) memory.Fault { return memory.Fault{DropResponse: write} })
 		begun := time.Now()
 		if err := term.Commit(t.Context(), progress("x"), nil); err != nil {
 			t.Fatal(err)
@@ -276,13 +276,13 @@
 		fault memory.Fault // of writes; reads are answered
 		done  bool
 	}{
-		{"the answer is lost", memory.Fault{Mute: true}, true},
-		{"nothing is written", memory.Fault{Silent: true}, false},
+		{"the answer is lost", memory.Fault{DropResponse: true}, true},
+		{"nothing is written", memory.Fault{DropRequest: true}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				caller := memory.New().Caller()
+				caller := memory.New().NewClient()
 				term := take(t, caller, "a")
 				before := term.LastSuccess()
 				caller.SetFault(func(write bool) memory.Fault {
--- a/leadership/lost_test.go
+++ b/leadership/lost_test.go
@@ -31,7 +31,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				caller := memory.New().Caller()
+				caller := memory.New().NewClient()
 				term := take(t, caller, "a")
 				write := func(i int) time.Duration {
 					begun := time.Now()
@@ -48,7 +48,7 @@
 				random := rand.New(rand.NewPCG(1, 1))
 				caller.SetFault(func(isWrite bool) memory.Fault {
 					if isWrite && random.Float64() < lostShare {
-						return memory.Fault{Late: time.Second + time.Duration(random.Int64N(int64(5*time.Second)))}
+						return memory.Fault{ApplyDelay: time.Second + time.Duration(random.Int64N(int64(5*time.Second)))}
 					}
 					return memory.Fault{}
 				})
--- a/node/beat.go
+++ b/node/beat.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// beatEvery is the interval of heartbeats to the nearMost nodes that are first in the order
+	// heartbeatInterval is the interval of heartbeats to the nearMost nodes that are first in the order
 	// of succession.
-	beatEvery = 150 * time.Millisecond
-	nearMost  = 12
-	// farBeats bounds the heartbeats per second to all other nodes together. Each of them still
+	heartbeatInterval = 150 * time.Millisecond
+	maxNearNodes      = 12
+	// maxFarHeartbeatsPerSecond bounds the heartbeats per second to all other nodes together. Each of them still
 	// gets one at least every farSlowest, which is well within unreadyAfter.
-	farBeats         = 200
-	farSlowest       = 2 * time.Second
-	heartbeatTimeout = 400 * time.Millisecond
+	maxFarHeartbeatsPerSecond = 200
+	maxFarHeartbeatInterval   = 2 * time.Second
+	heartbeatTimeout          = 400 * time.Millisecond
 	// memberLostAfter is how long a node may leave heartbeats unanswered before it is
 	// considered lost and gets no more advice calls.
 	memberLostAfter = time.Second
 	// lostMemberRetryDelay is the minimum time between heartbeats to a lost node.
 	lostMemberRetryDelay = time.Second
-	// storeFailing is how long the store must have failed the owner before it hands the shard
+	// storeFailedAfter is how long the store must have failed the owner before it hands the shard
 	// over to any node that reaches the store. After storeSuspectAfter it already hands over to
 	// a node that the store answers within shortProbeTimeout. New jobs and results wait until
 	// the store answers again or another node owns the shard.
-	storeFailing      = 350 * time.Millisecond
+	storeFailedAfter  = 350 * time.Millisecond
 	storeSuspectAfter = 150 * time.Millisecond
 	// storeCheckInterval is how often an owner checks whether the store answers it.
 	storeCheckInterval = 50 * time.Millisecond
@@ -39,7 +39,7 @@
 // heartbeatLoop sends heartbeats while this node owns the shard.
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	for turn := 1; ctx.Err() == nil; turn++ {
-		wait.For(ctx, beatEvery)
+		wait.For(ctx, heartbeatInterval)
 		n.sendHeartbeats(turn)
 	}
 }
@@ -48,7 +48,7 @@
 // heartbeatLoop so that a handover does not delay heartbeats.
 func (n *Node) lagCheckLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, beatEvery)
+		wait.For(ctx, heartbeatInterval)
 		n.checkLag(ctx)
 	}
 }
@@ -64,12 +64,12 @@
 // allNodesTurn is the turn in which every node gets a heartbeat.
 const allNodesTurn = 0
 
-// farPeriod returns the number of turns between two heartbeats to the same node, given the
+// farHeartbeatPeriod returns the number of turns between two heartbeats to the same node, given the
 // number of nodes that do not get one every turn.
-func farPeriod(far int) int {
-	perTurn := farBeats * beatEvery.Seconds()
+func farHeartbeatPeriod(far int) int {
+	perTurn := maxFarHeartbeatsPerSecond * heartbeatInterval.Seconds()
 	period := int(math.Ceil(float64(far) / perTurn))
-	return max(1, min(period, int(farSlowest/beatEvery)))
+	return max(1, min(period, int(maxFarHeartbeatInterval/heartbeatInterval)))
 }
 
 // sendHeartbeats sends the heartbeats of a turn: to the first nearMost nodes in the order of
@@ -77,18 +77,18 @@
 func (n *Node) sendHeartbeats(turn int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.own == nil {
+	if n.scheduler == nil {
 		return
 	}
 	table, _ := n.routes.Current()
 	ranked := n.ranked()
-	period := farPeriod(len(ranked) - 1 - nearMost)
-	short := beat{Undecided: time.Since(n.termStartedAt) < relayTerm, Owner: n.owner, TableVersion: table.Version, TableAge: n.tableAge()}
+	period := farHeartbeatPeriod(len(ranked) - 1 - maxNearNodes)
+	short := heartbeat{RelayUndecided: time.Since(n.termStartedAt) < relayUndecidedPeriod, Owner: n.owner, TableVersion: table.Version, TableAge: n.tableAge()}
 	full := short
 	members, version := n.currentSuccession()
 	full.Members = members
 	plan := n.relayPlan(ranked)
-	near := nearMost
+	near := maxNearNodes
 	for i, member := range ranked {
 		if member.Node == n.config.Self.Node {
 			near++ // this node does not count toward nearMost
@@ -105,9 +105,9 @@
 		if state.lost && time.Since(state.failedAt) < lostMemberRetryDelay {
 			continue
 		}
-		short.Next, full.Next = time.Duration(every)*beatEvery, time.Duration(every)*beatEvery
-		short.Relay, full.Relay = plan.relays[member.Node], plan.relays[member.Node]
-		short.Relays, full.Relays = plan.chosen[member.Node], plan.chosen[member.Node]
+		short.NextIn, full.NextIn = time.Duration(every)*heartbeatInterval, time.Duration(every)*heartbeatInterval
+		short.Relay, full.Relay = plan.relayAddress[member.Node], plan.relayAddress[member.Node]
+		short.IsRelay, full.IsRelay = plan.relayNodes[member.Node], plan.relayNodes[member.Node]
 		message := short
 		if state.successionVersion != version {
 			message = full
@@ -118,16 +118,16 @@
 
 // sendHeartbeat sends a heartbeat to a member and records the answer. version is the version of
 // the succession as of the heartbeat.
-func (n *Node) sendHeartbeat(member Member, message beat, version uint64) {
+func (n *Node) sendHeartbeat(member Member, message heartbeat, version uint64) {
 	ctx, cancel := context.WithTimeout(n.ctx, heartbeatTimeout)
 	defer cancel()
-	answer, err := peer.Call[beatAnswer](ctx, n.client, member.Address, beatPath, message)
+	answer, err := peer.Call[heartbeatResponse](ctx, n.client, member.Address, heartbeatPath, message)
 	now := time.Now()
 	n.mu.Lock()
 	state := n.peers[member.Node]
 	wasLost, relayed := state.lost, state.relays
 	if err == nil {
-		state = peerState{heardAt: now, storeOK: answer.StoreOK, lag: answer.Lag, successionVersion: version, relays: answer.Relays}
+		state = peerState{heardAt: now, storeOK: answer.StoreOK, lag: answer.Lag, successionVersion: version, relays: answer.RelayReady}
 		if answer.Members < len(n.announced) {
 			state.successionVersion = 0 // the node has restarted or missed an update
 		}
@@ -150,25 +150,25 @@
 	if answer.Owner.Token > message.Owner.Token {
 		n.learnOwner(answer.Owner)
 	}
-	n.hearOfTable(answer.TableVersion, member.Address)
+	n.noteTableVersion(answer.TableVersion, member.Address)
 }
 
 // handleHeartbeat answers a heartbeat of the owner.
-func (n *Node) handleHeartbeat(_ context.Context, message beat) (beatAnswer, error) {
-	n.ownerHeard(message.Owner, message.Next)
+func (n *Node) handleHeartbeat(_ context.Context, message heartbeat) (heartbeatResponse, error) {
+	n.ownerHeard(message.Owner, message.NextIn)
 	n.orders.assign(message, time.Now())
-	n.hearOfTable(message.TableVersion, message.Owner.Address)
-	if !n.routes.Lacks(message.TableVersion) {
-		n.tables.current(message.TableAge)
+	n.noteTableVersion(message.TableVersion, message.Owner.Address)
+	if !n.routes.OlderThan(message.TableVersion) {
+		n.tables.confirm(message.TableAge)
 	}
 	table, _ := n.routes.Current()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.heartbeatReceivedAt = time.Now()
 	n.applySuccession(message.Members)
-	return beatAnswer{
+	return heartbeatResponse{
 		Owner: n.owner, StoreOK: n.reachesStore() && !n.stopping, TableVersion: table.Version, Lag: n.lag.Mean(),
-		Members: len(n.members), Relays: n.relaysNow() && !n.storeBad && !n.stopping,
+		Members: len(n.members), RelayReady: n.relayReady() && !n.storeDown && !n.stopping,
 	}, nil
 }
 
@@ -181,7 +181,7 @@
 		return
 	}
 	n.ownerHeardAt = time.Now()
-	n.nextHeartbeatIn = max(next, beatEvery)
+	n.nextHeartbeatIn = max(next, heartbeatInterval)
 	n.anyOwnerHeardAt = n.ownerHeardAt
 	n.setOwnerLocked(owner)
 }
@@ -201,23 +201,23 @@
 	}
 	n.owner = owner
 	n.log.Info().Str("owner", owner.Node).Uint64("token", owner.Token).Msg("owner changed")
-	if n.own != nil && n.own.Token() < owner.Token && n.cancelTerm != nil {
+	if n.scheduler != nil && n.scheduler.Token() < owner.Token && n.cancelTerm != nil {
 		n.cancelTerm()
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-func (n *Node) answerPing(context.Context, nothing) (pingAnswer, error) {
+func (n *Node) answerPing(context.Context, empty) (pingResponse, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return pingAnswer{n.owner, n.own != nil || n.takingOver}, nil
+	return pingResponse{n.owner, n.scheduler != nil || n.takingOver}, nil
 }
 
 // checkStore hands the shard over when the store does not answer this node but answers others.
 func (n *Node) checkStore(ctx context.Context) {
 	n.mu.Lock()
-	own := n.own
+	own := n.scheduler
 	n.mu.Unlock()
 	if own == nil {
 		return
@@ -228,10 +228,10 @@
 	}
 	const why = "the store does not answer this node"
 	switch failingFor := time.Since(since); {
-	case failingFor >= storeFailing:
+	case failingFor >= storeFailedAfter:
 		n.handOver(ctx, why, anySuccessor)
 	case failingFor >= storeSuspectAfter:
-		n.tryHandover(ctx, handover{why: why, eligible: anySuccessor, probeTimeout: shortProbeTimeout, retryDelay: storeFailing - storeSuspectAfter})
+		n.tryHandover(ctx, handover{why: why, eligible: anySuccessor, probeTimeout: shortStoreProbeTimeout, retryDelay: storeFailedAfter - storeSuspectAfter})
 	}
 }
 
--- a/node/caller_test.go
+++ b/node/caller_test.go
@@ -103,7 +103,7 @@
 		}
 		c.assertConfigurationVersion(follower, 2, time.Second)
 		assertTableIsCurrent(t, "store and owner reachable", follower, true)
-		follower.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		follower.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		time.Sleep(10 * time.Second)
 		assertTableIsCurrent(t, "store unreachable", follower, true)
 		c.writeConfiguration(grantPrefix+"b", 0)
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -2,18 +2,18 @@
 
 import "chutereach/evacuation"
 
-// evacuationCalls is the number of calls of the store's feed that fit into the time within
+// feedCallsPerEvacuation is the number of calls of the store's feed that fit into the time within
 // which an evacuation must take effect. The view may be as old as two calls, so that three keep
 // it from becoming stale.
-const evacuationCalls = 3
+const feedCallsPerEvacuation = 3
 
-// takeEvacuations applies the evacuated data halls read from the store.
-func (n *Node) takeEvacuations(view evacuation.View) {
+// applyEvacuations applies the evacuated data halls read from the store.
+func (n *Node) applyEvacuations(view evacuation.View) {
 	former, changed := n.evacuations.Offer(view)
 	if !changed {
 		return
 	}
-	n.orders.news()
+	n.orders.notifyChange()
 	n.metrics.evacuationChanges.Add(1)
 	n.metrics.evacuatedHalls.Set(int64(len(view.Halls())))
 	n.log.Info().Uint64("version", view.Version()).Strs("halls", view.Halls()).Strs("before", former.Halls()).
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -35,7 +35,7 @@
 
 // No task starts in an evacuated data hall after evacuationLimit, whichever node owns the shard then,
 // and jobs still complete in other data halls.
-func TestEveryOwnerHeedsEvacuations(t *testing.T) {
+func TestEvacuationHoldsAcrossOwners(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(c *cell, owner *member) (restore func())
@@ -55,12 +55,12 @@
 			return func() {}
 		}},
 		{"the store refuses the owner", func(c *cell, owner *member) func() {
-			owner.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+			owner.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 			return func() { owner.storeCaller.SetFault(nil) }
 		}},
 		{"the store answers no reads", func(c *cell, _ *member) func() {
 			for _, m := range c.nodes {
-				m.storeCaller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
+				m.storeCaller.SetFault(func(write bool) memory.Fault { return memory.Fault{DropRequest: !write} })
 			}
 			return func() { c.setStoreFault(nil) }
 		}},
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -23,11 +23,11 @@
 func (n *Node) ShardLoaded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.own == nil {
+	if n.scheduler == nil {
 		return false
 	}
 	select {
-	case <-n.own.Loaded:
+	case <-n.scheduler.Loaded:
 		return true
 	default:
 		return false
@@ -42,7 +42,7 @@
 }
 
 // Relay returns the address of the relay that the node polls, or an empty string if it reads the store.
-func (n *Node) Relay() string { return n.orders.usable(time.Now()) }
+func (n *Node) Relay() string { return n.orders.usableRelay(time.Now()) }
 
 // UsesRelay reports whether the node receives configuration and evacuations from a relay.
 func (n *Node) UsesRelay() bool { return n.orders.relayed() }
--- a/node/forget.go
+++ b/node/forget.go
@@ -26,7 +26,7 @@
 func (n *Node) membershipLoop(ctx context.Context) {
 	for wait.For(ctx, membershipCheckInterval) == nil {
 		n.mu.Lock()
-		isOwner, noHeartbeat := n.own != nil, time.Since(n.heartbeatReceivedAt) > membershipCheckInterval
+		isOwner, noHeartbeat := n.scheduler != nil, time.Since(n.heartbeatReceivedAt) > membershipCheckInterval
 		n.mu.Unlock()
 		switch {
 		case isOwner:
@@ -62,19 +62,19 @@
 func (n *Node) dropLostMembers(now time.Time) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.own == nil || now.Sub(n.termStartedAt) < memberRemovalDelay {
+	if n.scheduler == nil || now.Sub(n.termStartedAt) < memberRemovalDelay {
 		return nil
 	}
 	var removed []Member
 	for name, member := range n.members {
 		state := n.peers[name]
-		if name == n.config.Self.Node || !state.lost || now.Sub(state.heardAt) < memberRemovalDelay || len(removed) == rowstore.MaxEntries {
+		if name == n.config.Self.Node || !state.lost || now.Sub(state.heardAt) < memberRemovalDelay || len(removed) == rowstore.MaxTransactionEntries {
 			continue
 		}
 		removed = append(removed, member)
 		delete(n.members, name)
 		delete(n.peers, name)
-		n.memberSerial++
+		n.membersVersion++
 	}
 	return removed
 }
@@ -82,7 +82,7 @@
 // applySuccession replaces the known members by the succession that an owner sent. n.mu must be
 // held.
 func (n *Node) applySuccession(members []Member) {
-	if len(members) == 0 || n.own != nil {
+	if len(members) == 0 || n.scheduler != nil {
 		return
 	}
 	former := n.members
@@ -90,5 +90,5 @@
 	for _, member := range members {
 		n.addMember(member)
 	}
-	n.memberSerial++
+	n.membersVersion++
 }
--- a/node/growth_test.go
+++ b/node/growth_test.go
@@ -28,7 +28,7 @@
 
 // Only the owner knows all members. The member rows that other nodes read at startup and the members
 // that they learn from heartbeats must not grow with the cell.
-func TestWhatANodeKnowsOfOthersIsBounded(t *testing.T) {
+func TestKnownMembersAreBounded(t *testing.T) {
 	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		if got := owner.MemberCount(); got != largeCell {
@@ -58,7 +58,7 @@
 }
 
 // A restarted node does not rewrite its member row if the row is unchanged.
-func TestNodesThatBeginAgainWriteNothing(t *testing.T) {
+func TestRestartedNodesDoNotRewriteRows(t *testing.T) {
 	runInCell(t, largeCell, func(c *cell) {
 		written := c.store.RowsWritten("nodes")
 		for _, m := range c.nodes {
@@ -79,7 +79,7 @@
 
 // While the shard has no owner, nodes outside the succession poll the store with backoff. They must
 // still find the next owner.
-func TestHowOftenNodesLookForAnOwner(t *testing.T) {
+func TestOwnerPollingBacksOff(t *testing.T) {
 	const (
 		outage = 4 * time.Second
 		// maxCalls allows for reads of the owner row at intervals that double from 50 ms to 800 ms, two
@@ -89,19 +89,19 @@
 	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
 		for _, m := range c.nodes {
-			m.storeCaller.SetFault(func(write bool) memory.Fault { return memory.Fault{Refuse: write} })
+			m.storeCaller.SetFault(func(write bool) memory.Fault { return memory.Fault{Reject: write} })
 		}
 		c.stop(owner)
 		defer c.start(owner)
 		time.Sleep(100 * time.Millisecond)
 		callsBefore := map[*member]int{}
 		for _, m := range c.nodes {
-			callsBefore[m] = m.storeCaller.Calls()
+			callsBefore[m] = m.storeCaller.CallCount()
 		}
 		time.Sleep(outage)
 		backedOff := 0
 		for _, m := range c.nodes {
-			if m != owner && m.storeCaller.Calls()-callsBefore[m] <= maxCalls {
+			if m != owner && m.storeCaller.CallCount()-callsBefore[m] <= maxCalls {
 				backedOff++
 			}
 		}
@@ -120,7 +120,7 @@
 }
 
 // A successor lists the workers while it loads the shard, not after that.
-func TestASuccessorReadsWorkersAndRowsAtOnce(t *testing.T) {
+func TestSuccessorListsWorkersWhileLoading(t *testing.T) {
 	const readDelay = 600 * time.Millisecond
 	runInCell(t, largeCell, func(c *cell) {
 		owner := c.owner()
@@ -138,7 +138,7 @@
 				if write {
 					return memory.Fault{}
 				}
-				return memory.Fault{Slow: readDelay}
+				return memory.Fault{Delay: readDelay}
 			})
 		}
 		c.stop(owner)
--- a/node/handover.go
+++ b/node/handover.go
@@ -24,14 +24,14 @@
 
 // handOver has an eligible node that reaches the store take the shard.
 func (n *Node) handOver(ctx context.Context, why string, eligible func(Member, peerState) bool) {
-	n.tryHandover(ctx, handover{why, eligible, quickLook, handoverRetryDelay})
+	n.tryHandover(ctx, handover{why, eligible, storeProbeTimeout, handoverRetryDelay})
 }
 
 // tryHandover tries the best successors in turn. It first probes whether each can take the
 // shard, so that the owner's transactions are held only for one that can.
 func (n *Node) tryHandover(ctx context.Context, h handover) {
 	n.mu.Lock()
-	own := n.own
+	own := n.scheduler
 	if own == nil || n.handingOver || time.Now().Before(n.nextHandoverAt) {
 		n.mu.Unlock()
 		return
@@ -44,7 +44,7 @@
 	}
 	n.mu.Unlock()
 	for _, successor := range successors {
-		if err := n.callSuccessor(ctx, successor, takeoverCall{From: n.config.Self.Node, Probe: true, Look: h.probeTimeout}); err != nil {
+		if err := n.callSuccessor(ctx, successor, takeoverRequest{From: n.config.Self.Node, Probe: true, StoreTimeout: h.probeTimeout}); err != nil {
 			n.log.Info().Str("successor", successor.Node).Str("why", h.why).Err(err).Msg("probe of successor failed")
 			continue
 		}
@@ -71,8 +71,8 @@
 	}
 	sort.SliceStable(successors, func(i, k int) bool {
 		a, b := successors[i], successors[k]
-		if a.Power != b.Power {
-			return a.Power > b.Power
+		if a.Cores != b.Cores {
+			return a.Cores > b.Cores
 		}
 		return n.peers[a.Node].lag < n.peers[b.Node].lag
 	})
@@ -80,10 +80,10 @@
 }
 
 // callSuccessor asks a node to take the shard, or with call.Probe whether it could.
-func (n *Node) callSuccessor(ctx context.Context, successor Member, call takeoverCall) error {
+func (n *Node) callSuccessor(ctx context.Context, successor Member, call takeoverRequest) error {
 	callCtx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	_, err := peer.Call[nothing](callCtx, n.client, successor.Address, takeoverPath, call)
+	_, err := peer.Call[empty](callCtx, n.client, successor.Address, takeoverPath, call)
 	return err
 }
 
@@ -100,27 +100,27 @@
 	if err == nil {
 		defer release()
 	}
-	err = n.callSuccessor(ctx, successor, takeoverCall{From: n.config.Self.Node, Look: h.probeTimeout})
+	err = n.callSuccessor(ctx, successor, takeoverRequest{From: n.config.Self.Node, StoreTimeout: h.probeTimeout})
 	n.log.Info().Str("successor", successor.Node).Str("why", h.why).Dur("lag", n.lag.Mean()).
 		Bool("machine_slow", n.speed.slow()).Err(err).Msg("handing the shard over")
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err == nil && n.own == own && n.cancelTerm != nil {
+	if err == nil && n.scheduler == own && n.cancelTerm != nil {
 		n.cancelTerm()
 	}
-	return err == nil || n.own != own
+	return err == nil || n.scheduler != own
 }
 
 // answerTakeover takes the shard from its owner, or for a probe reports whether it could. It
 // fails unless the store answers this node quickly: if the store is slow for every node, a
 // handover does not help.
-func (n *Node) answerTakeover(_ context.Context, call takeoverCall) (nothing, error) {
-	look := call.Look
+func (n *Node) answerTakeover(_ context.Context, call takeoverRequest) (empty, error) {
+	look := call.StoreTimeout
 	if look <= 0 {
-		look = quickLook
+		look = storeProbeTimeout
 	}
 	if err := n.probeStore(n.ctx, look); err != nil || call.Probe {
-		return nothing{}, err
+		return empty{}, err
 	}
 	var err error
 	for range maxTakeoverAttempts {
@@ -128,14 +128,14 @@
 			break
 		}
 	}
-	return nothing{}, err
+	return empty{}, err
 }
 
 // takeOverFrom takes the shard from a node that hands it over.
 func (n *Node) takeOverFrom(parent context.Context, from string) error {
 	ctx, cancel := context.WithTimeout(parent, storeTimeout)
 	defer cancel()
-	seen, err := leadership.Look(ctx, n.platform.Store, n.config.Scheduler.Shard)
+	seen, err := leadership.ReadOwner(ctx, n.platform.Store, n.config.Scheduler.Shard)
 	if err != nil {
 		return err
 	}
@@ -149,6 +149,6 @@
 func (n *Node) probeStore(ctx context.Context, within time.Duration) error {
 	probeCtx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	_, err := leadership.Look(probeCtx, n.platform.Store, n.config.Scheduler.Shard)
+	_, err := leadership.ReadOwner(probeCtx, n.platform.Store, n.config.Scheduler.Shard)
 	return err
 }
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -10,13 +10,13 @@
 )
 
 // An owner without a suitable successor must not block transactions while it asks the candidates.
-func TestAHandoverWithoutAnHeirHoldsNothingUp(t *testing.T) {
+func TestHandoverWithoutSuccessorDoesNotBlock(t *testing.T) {
 	runInCell(t, 9, func(c *cell) {
 		time.Sleep(3 * time.Second)
 		owner := c.owner()
 		for _, m := range c.nodes {
 			if m != owner {
-				m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 300 * time.Millisecond} })
+				m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 300 * time.Millisecond} })
 			}
 		}
 		for i := range 10 {
@@ -38,8 +38,8 @@
 const handoverLimit = 400 * time.Millisecond
 
 // An owner that loses the store while other nodes reach it hands over before urgent jobs are late.
-func TestAnOwnerThatTheStoreTurnsAwayHandsOver(t *testing.T) {
-	for name, fault := range map[string]memory.Fault{"refused": {Refuse: true}, "unanswered": {Silent: true}} {
+func TestOwnerWithoutStoreHandsOver(t *testing.T) {
+	for name, fault := range map[string]memory.Fault{"refused": {Reject: true}, "unanswered": {DropRequest: true}} {
 		t.Run(name, func(t *testing.T) {
 			runInCell(t, 9, func(c *cell) {
 				former := c.owner()
@@ -54,12 +54,12 @@
 }
 
 // The owner keeps the shard if the store is slow for all nodes.
-func TestASlowStoreKeepsItsOwner(t *testing.T) {
+func TestNoHandoverWhenStoreIsSlowForAll(t *testing.T) {
 	for _, slow := range []time.Duration{30 * time.Millisecond, 120 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(slow.String(), func(t *testing.T) {
 			runInCell(t, 9, func(c *cell) {
 				former := c.owner()
-				c.setStoreFault(&memory.Fault{Slow: slow})
+				c.setStoreFault(&memory.Fault{Delay: slow})
 				for range 100 {
 					time.Sleep(50 * time.Millisecond)
 					if c.owner() != former {
@@ -87,7 +87,7 @@
 			m.storeCaller.SetFault(func(write bool) memory.Fault {
 				refuse := tookOver
 				tookOver = tookOver || write
-				return memory.Fault{Refuse: refuse}
+				return memory.Fault{Reject: refuse}
 			})
 			break // only the first candidate
 		}
@@ -120,7 +120,7 @@
 					loading = 3 // the next three reads load the shard's tables
 				case !write && loading > 0:
 					loading--
-					return memory.Fault{Slow: 1200 * time.Millisecond}
+					return memory.Fault{Delay: 1200 * time.Millisecond}
 				}
 				return memory.Fault{}
 			})
--- a/node/lag.go
+++ b/node/lag.go
@@ -56,7 +56,7 @@
 func (n *Node) checkLag(ctx context.Context) {
 	lag := n.lag.Mean()
 	n.mu.Lock()
-	own, age := n.own, time.Since(n.termStartedAt)
+	own, age := n.scheduler, time.Since(n.termStartedAt)
 	if own == nil || age < minTermAge {
 		n.lagNormalSince, n.lagWasNormal = time.Time{}, false
 		n.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 	becameSlow := n.lagWasNormal && (lag >= slowLag && n.speed.slow() || lag >= starvedLag)
 	n.mu.Unlock()
-	self := n.config.Self.Power
+	self := n.config.Self.Cores
 	switch {
 	case becameSlow:
 		n.handOver(ctx, "this node is short of processor time", func(_ Member, state peerState) bool {
@@ -80,7 +80,7 @@
 		})
 	case self > 0 && lag < slowLag:
 		n.handOver(ctx, "another machine is much more powerful", func(member Member, state peerState) bool {
-			return member.Power >= strongerRatio*self && state.lag < slowLag
+			return member.Cores >= strongerRatio*self && state.lag < slowLag
 		})
 	}
 }
--- a/node/load_test.go
+++ b/node/load_test.go
@@ -20,7 +20,7 @@
 		m.storeCaller.SetFault(func(write bool) memory.Fault {
 			refuse := tookOver
 			tookOver = tookOver || write && m.Owns()
-			return memory.Fault{Refuse: refuse || m.Owns()}
+			return memory.Fault{Reject: refuse || m.Owns()}
 		})
 		for end := time.Now().Add(5 * time.Second); !m.Owns() && time.Now().Before(end); {
 			time.Sleep(10 * time.Millisecond)
--- a/node/lost_test.go
+++ b/node/lost_test.go
@@ -15,7 +15,7 @@
 			c.network.Cut(former.name, other.name)
 			c.network.Cut(other.name, former.name)
 		}
-		former.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		former.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		begun := time.Now()
 		next := c.awaitOtherOwner(former, 1500*time.Millisecond)
 		if next == nil {
@@ -42,7 +42,7 @@
 const replacementLimit = 680 * time.Millisecond
 
 // The takeover from an unresponsive owner must not wait for another ping to time out.
-func TestHowSoonASilentOwnerIsReplaced(t *testing.T) {
+func TestUnresponsiveOwnerIsReplacedInTime(t *testing.T) {
 	for _, after := range []time.Duration{0, 40 * time.Millisecond, 80 * time.Millisecond, 120 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			runInCell(t, 9, func(c *cell) {
@@ -52,7 +52,7 @@
 					c.network.Cut(former.name, other.name)
 					c.network.Cut(other.name, former.name)
 				}
-				former.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+				former.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 				if c.awaitOtherOwner(former, replacementLimit) == nil {
 					t.Errorf("no other node owns the shard after %v", replacementLimit)
 				}
--- a/node/members.go
+++ b/node/members.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// succession is the number of members that every node knows: the first in the order of
-	// succession. All other nodes wait equally long before they try to take the shard, and only
+	// successionSize is the number of members that every node knows: the first in the order of
+	// successionSize. All other nodes wait equally long before they try to take the shard, and only
 	// the owner needs to know them. If every node read all members and were sent every change,
 	// the traffic would grow with the square of the number of nodes.
-	succession = nearMost + 1
+	successionSize = maxNearNodes + 1
 	// maxOrderedPower is the power, in thousandths of a core, from which rows are ordered by
 	// the name of the node alone.
 	maxOrderedPower = 999_999
@@ -33,7 +33,7 @@
 // rowName returns the name of the member's row. Rows sort by descending power, so that the
 // first page holds the succession.
 func (m Member) rowName() string {
-	order := max(0, maxOrderedPower-int(math.Round(1000*m.Power)))
+	order := max(0, maxOrderedPower-int(math.Round(1000*m.Cores)))
 	return fmt.Sprintf("%06d %s", order, m.Node)
 }
 
@@ -43,13 +43,13 @@
 	for ctx.Err() == nil {
 		err := n.registerOnce(ctx)
 		if err == nil {
-			n.storeAnswers()
+			n.recordStoreSuccess()
 			n.mu.Lock()
 			n.registered = true
 			n.mu.Unlock()
 			return
 		}
-		n.storeFails(err)
+		n.recordStoreFailure(err)
 		wait.For(ctx, storeRetryDelay)
 	}
 }
@@ -62,7 +62,7 @@
 	defer cancel()
 	store := n.platform.Store
 	put := rowstore.Put{Key: rowstore.Key{Table: nodesTable, Name: n.config.Self.rowName()}, Value: codec.MustMarshal(n.config.Self)}
-	page, err := store.Read(ctx, nodesTable, "", "", succession)
+	page, err := store.Read(ctx, nodesTable, "", "", successionSize)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 		if _, err = store.Commit(ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
 			return err
 		}
-		if page, err = store.Read(ctx, nodesTable, "", "", succession); err != nil {
+		if page, err = store.Read(ctx, nodesTable, "", "", successionSize); err != nil {
 			return err
 		}
 	}
@@ -120,15 +120,15 @@
 func (n *Node) addMember(member Member) {
 	if n.members[member.Node] != member {
 		n.members[member.Node] = member
-		n.memberSerial++
+		n.membersVersion++
 	}
 }
 
 // ranked returns all members, the best owner first. n.mu must be held.
 func (n *Node) ranked() []Member {
-	if n.rankedVersion != n.memberSerial {
+	if n.rankedVersion != n.membersVersion {
 		n.rankedMembers = slices.SortedFunc(maps.Values(n.members), Member.compare)
-		n.rankedVersion = n.memberSerial
+		n.rankedVersion = n.membersVersion
 	}
 	return n.rankedMembers
 }
@@ -137,7 +137,7 @@
 // incremented with each change. n.mu must be held.
 func (n *Node) currentSuccession() ([]Member, uint64) {
 	ranked := n.ranked()
-	first := ranked[:min(len(ranked), succession)]
+	first := ranked[:min(len(ranked), successionSize)]
 	if !slices.Equal(first, n.announced) {
 		n.announced = slices.Clone(first)
 		n.announcedVersion++
@@ -161,7 +161,7 @@
 func (n *Node) setLanes() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.own == nil {
+	if n.scheduler == nil {
 		return
 	}
 	self := n.config.Self
@@ -172,7 +172,7 @@
 		}
 		lanes = append(lanes, scheduler.AdviceNode{Node: member.Node, Advisor: remoteAdvisor{n, member.Address}})
 	}
-	n.own.SetAdviceNodes(lanes)
+	n.scheduler.SetAdviceNodes(lanes)
 }
 
 // remoteAdvisor requests advice from another node.
@@ -187,17 +187,17 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		within = time.Until(deadline)
 	}
-	call := adviseCall{step, workers, within}
-	answer, err := peer.Call[adviseAnswer](ctx, a.node.client, a.address, advisePath, call)
+	call := adviseRequest{step, workers, within}
+	answer, err := peer.Call[adviseResponse](ctx, a.node.client, a.address, advisePath, call)
 	if err != nil {
 		return fleet.Advice{}, &fleet.AdvisorError{Cause: err}
 	}
 	return fleet.Advice{Tickets: answer.Tickets, Valid: answer.Valid}, nil
 }
 
-func (n *Node) answerAdvise(ctx context.Context, call adviseCall) (adviseAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, call.Within)
+func (n *Node) answerAdvise(ctx context.Context, call adviseRequest) (adviseResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
 	advice, err := n.platform.Advisor.Advise(ctx, call.Step, call.Workers)
-	return adviseAnswer{advice.Tickets, advice.Valid}, err
+	return adviseResponse{advice.Tickets, advice.Valid}, err
 }
--- a/node/members_test.go
+++ b/node/members_test.go
@@ -14,7 +14,7 @@
 		c.stop(restarted)
 		time.Sleep(500 * time.Millisecond)
 		c.start(restarted)
-		restarted.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		restarted.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		time.Sleep(2 * time.Second)
 		if got := restarted.MemberCount(); got != len(c.nodes) {
 			t.Errorf("the restarted node knows %d members, want %d", got, len(c.nodes))
--- a/node/messages.go
+++ b/node/messages.go
@@ -14,16 +14,16 @@
 
 // Paths of the calls between nodes.
 const (
-	beatPath     = "/v1/beat"
-	pingPath     = "/v1/ping"
-	takeoverPath = "/v1/takeover"
-	submitPath   = "/v1/submit"
-	cancelPath   = "/v1/cancel"
-	statePath    = "/v1/state"
-	pendingPath  = "/v1/pending"
-	advisePath   = "/v1/advise"
-	tablePath    = "/v1/table"
-	ordersPath   = "/v1/orders"
+	heartbeatPath = "/v1/beat"
+	pingPath      = "/v1/ping"
+	takeoverPath  = "/v1/takeover"
+	submitPath    = "/v1/submit"
+	cancelPath    = "/v1/cancel"
+	statePath     = "/v1/state"
+	pendingPath   = "/v1/pending"
+	advisePath    = "/v1/advise"
+	tablePath     = "/v1/table"
+	ordersPath    = "/v1/orders"
 )
 
 // Member describes a node to the other nodes.
@@ -31,15 +31,15 @@
 	Node    string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"` // for calls from other nodes
 	Hall    string `cbor:"3,keyasint"`
-	// Power is the share of a CPU core that the machine has.
-	Power float64 `cbor:"4,keyasint,omitempty"`
-	// Link is the bandwidth of the machine's network link in Mbit/s; 0: unknown.
-	Link float64 `cbor:"5,keyasint,omitempty"`
+	// Cores is the share of a CPU core that the machine has.
+	Cores float64 `cbor:"4,keyasint,omitempty"`
+	// LinkMbps is the bandwidth of the machine's network link in Mbit/s; 0: unknown.
+	LinkMbps float64 `cbor:"5,keyasint,omitempty"`
 }
 
 // compare orders members by preference as owner, the most preferred first.
 func (m Member) compare(other Member) int {
-	return cmp.Or(cmp.Compare(other.Power, m.Power), cmp.Compare(m.Node, other.Node))
+	return cmp.Or(cmp.Compare(other.Cores, m.Cores), cmp.Compare(m.Node, other.Node))
 }
 
 // ownership names the owner of the shard as known to a node. A higher token is more recent.
@@ -49,41 +49,41 @@
 	Token   uint64 `cbor:"3,keyasint"`
 }
 
-// beat is an owner's heartbeat to one node.
-type beat struct {
+// heartbeat is an owner's heartbeat to one node.
+type heartbeat struct {
 	Owner        ownership `cbor:"1,keyasint"`
 	TableVersion uint64    `cbor:"2,keyasint"`
 	// TableAge is the time since the owner's table of routes was last confirmed as current.
 	TableAge time.Duration `cbor:"5,keyasint,omitempty"`
 	Members  []Member      `cbor:"3,keyasint,omitempty"` // empty: unchanged since the last heartbeat that listed them
-	// Next is the time until the next heartbeat; 0: beatEvery.
-	Next time.Duration `cbor:"4,keyasint,omitempty"`
+	// NextIn is the time until the next heartbeat; 0: beatEvery.
+	NextIn time.Duration `cbor:"4,keyasint,omitempty"`
 	// Relay is the address of the relay from which the node gets the operator's orders; empty: it
 	// reads the store. If Undecided is set, the owner has not chosen relays yet and the node keeps
 	// its current one.
-	Relay     string `cbor:"6,keyasint,omitempty"`
-	Undecided bool   `cbor:"8,keyasint,omitempty"`
-	// Relays reports whether the node itself is assigned as a relay.
-	Relays bool `cbor:"7,keyasint,omitempty"`
+	Relay          string `cbor:"6,keyasint,omitempty"`
+	RelayUndecided bool   `cbor:"8,keyasint,omitempty"`
+	// IsRelay reports whether the node itself is assigned as a relay.
+	IsRelay bool `cbor:"7,keyasint,omitempty"`
 }
 
-// beatAnswer is a node's reply to a heartbeat.
-type beatAnswer struct {
+// heartbeatResponse is a node's reply to a heartbeat.
+type heartbeatResponse struct {
 	Owner        ownership     `cbor:"1,keyasint"` // as known to the node
 	StoreOK      bool          `cbor:"2,keyasint"` // it has reached the store recently
 	TableVersion uint64        `cbor:"3,keyasint"`
 	Lag          time.Duration `cbor:"4,keyasint"`           // mean lateness of its timers
 	Members      int           `cbor:"5,keyasint"`           // number of members it knows, including itself
-	Relays       bool          `cbor:"6,keyasint,omitempty"` // it is a relay with fresh orders
+	RelayReady   bool          `cbor:"6,keyasint,omitempty"` // it is a relay with fresh orders
 }
 
-// ordersCall requests the operator's orders from a relay. The relay may hold the request until it
+// ordersRequest requests the operator's orders from a relay. The relay may hold the request until it
 // has newer orders than the caller.
-type ordersCall struct {
-	TableVersion uint64        `cbor:"1,keyasint"` // version of the caller's table of routes
-	Evacuations  uint64        `cbor:"2,keyasint"` // version of the caller's view of evacuated data halls
-	Halls        []string      `cbor:"3,keyasint,omitempty"`
-	Wait         time.Duration `cbor:"4,keyasint"` // maximum time to hold the request if there are no newer orders
+type ordersRequest struct {
+	TableVersion      uint64        `cbor:"1,keyasint"` // version of the caller's table of routes
+	EvacuationVersion uint64        `cbor:"2,keyasint"` // version of the caller's view of evacuated data halls
+	Halls             []string      `cbor:"3,keyasint,omitempty"`
+	Wait              time.Duration `cbor:"4,keyasint"` // maximum time to hold the request if there are no newer orders
 }
 
 // ordersResponse contains the operator's orders as known to a relay.
@@ -98,17 +98,17 @@
 	HeldFor time.Duration `cbor:"6,keyasint"`
 }
 
-// pingAnswer names the owner known to a node and reports whether the node itself is the owner.
-type pingAnswer struct {
-	Owner ownership `cbor:"1,keyasint"`
-	Owns  bool      `cbor:"2,keyasint"`
+// pingResponse names the owner known to a node and reports whether the node itself is the owner.
+type pingResponse struct {
+	Owner   ownership `cbor:"1,keyasint"`
+	IsOwner bool      `cbor:"2,keyasint"`
 }
 
-type takeoverCall struct {
+type takeoverRequest struct {
 	From  string `cbor:"1,keyasint"`
 	Probe bool   `cbor:"2,keyasint,omitempty"` // only check whether a takeover is possible
-	// Look is the time within which the store must answer the successor; 0: quickLook.
-	Look time.Duration `cbor:"3,keyasint,omitempty"`
+	// StoreTimeout is the time within which the store must answer the successor; 0: quickLook.
+	StoreTimeout time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 type submitRequest struct {
@@ -129,18 +129,18 @@
 	Caller routing.Caller `cbor:"2,keyasint"`
 }
 
-type adviseCall struct {
+type adviseRequest struct {
 	Step    string        `cbor:"1,keyasint"`
 	Workers []string      `cbor:"2,keyasint"`
-	Within  time.Duration `cbor:"3,keyasint"`
+	Timeout time.Duration `cbor:"3,keyasint"`
 }
 
-type adviseAnswer struct {
+type adviseResponse struct {
 	Tickets map[string]string `cbor:"1,keyasint"`
 	Valid   time.Duration     `cbor:"2,keyasint"`
 }
 
-type nothing struct{}
+type empty struct{}
 
 // Error codes in calls between nodes.
 const (
--- a/node/node.go
+++ b/node/node.go
@@ -22,13 +22,13 @@
 type Config struct {
 	Self      Member
 	Scheduler scheduler.Config
-	// Owns, if not nil, is called with whether this node owns the shard, at each change.
-	Owns func(bool)
+	// OnOwnershipChange, if not nil, is called with whether this node owns the shard, at each change.
+	OnOwnershipChange func(bool)
 }
 
 func (c Config) notifyOwnership(now bool) {
-	if c.Owns != nil {
-		c.Owns(now)
+	if c.OnOwnershipChange != nil {
+		c.OnOwnershipChange(now)
 	}
 }
 
@@ -43,7 +43,7 @@
 	// FollowOrders calls changed with each table of routes, and evacuated with the evacuated
 	// data halls after each answer of the store, until ctx ends. It reports the progress of its
 	// calls to the store to reach.
-	FollowOrders func(ctx context.Context, changed func(routing.Table), evacuated func(evacuation.View), reach rowstore.Reach)
+	FollowOrders func(ctx context.Context, changed func(routing.Table), evacuated func(evacuation.View), reach rowstore.FollowOptions)
 }
 
 // Node is a member of the cluster. It takes part in choosing the owner of the shard, and runs
@@ -68,10 +68,10 @@
 	changed             chan struct{} // closed and replaced when the owner changes
 	members             map[string]Member
 	peers               map[string]peerState
-	// memberSerial is incremented with each change of members. rankedMembers holds all members
+	// membersVersion is incremented with each change of members. rankedMembers holds all members
 	// as of rankedVersion, the best owner first.
-	memberSerial, rankedVersion uint64
-	rankedMembers               []Member
+	membersVersion, rankedVersion uint64
+	rankedMembers                 []Member
 	// announced is the succession that an owner sends to each node once per change.
 	// announcedVersion is incremented with each change.
 	announced        []Member
@@ -79,8 +79,8 @@
 	// plan assigns the relays of the operator's orders, as of memberSerial planAt. It is nil
 	// when it must be computed anew.
 	plan          *relayPlan
-	planAt        uint64
-	own           *scheduler.Scheduler // nil unless this node owns the shard
+	planVersion   uint64
+	scheduler     *scheduler.Scheduler // nil unless this node owns the shard
 	termStartedAt time.Time
 	// lagNormalSince is when this owner's timer lag last became normal, or zero while it is
 	// high. lagWasNormal is whether it has been normal for lagNormalPeriod during this term.
@@ -92,14 +92,14 @@
 	handingOver     bool
 	cancelTerm      context.CancelFunc
 	storeAnsweredAt time.Time
-	storeBad        bool
+	storeDown       bool
 	stopping        bool
 	registered      bool        // the node's row is written and the succession read
 	takingOver      bool        // a takeover is in progress; the owner's row may already name this node
-	loadFails       atomic.Bool // the last attempt to load the shard failed
+	loadFailing     atomic.Bool // the last attempt to load the shard failed
 
-	tables     tableExchange
-	orders     orderExchange
+	tables     tableTracker
+	orders     orderSource
 	lag        lagMeter
 	speed      speedMeter
 	takeoverMu sync.Mutex // serializes takeovers
@@ -122,10 +122,10 @@
 func New(ctx context.Context, config Config, platform Platform, client *peer.Client, metrics *Metrics, log zerolog.Logger) *Node {
 	n := &Node{
 		ctx: ctx, config: config, platform: platform, client: client, log: log, metrics: metrics,
-		changed: make(chan struct{}), members: map[string]Member{config.Self.Node: config.Self}, memberSerial: 1,
+		changed: make(chan struct{}), members: map[string]Member{config.Self.Node: config.Self}, membersVersion: 1,
 		peers: map[string]peerState{},
 	}
-	n.config.Scheduler.Lateness = n.lag.Mean
+	n.config.Scheduler.TimerLag = n.lag.Mean
 	n.config.Scheduler.Evacuations = n.evacuations.Current
 	n.routes.OnChange(n.tableChanged)
 	return n
@@ -150,22 +150,22 @@
 // Routes returns the current table of routes.
 func (n *Node) Routes() (routing.Table, bool) { return n.routes.Current() }
 
-// storeAnswers and storeFails record whether the store can be reached.
-func (n *Node) storeAnswers() {
+// recordStoreSuccess and storeFails record whether the store can be reached.
+func (n *Node) recordStoreSuccess() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.storeAnsweredAt = time.Now()
-	if n.storeBad {
-		n.storeBad = false
+	if n.storeDown {
+		n.storeDown = false
 		n.log.Info().Msg("store answers again")
 	}
 }
 
-func (n *Node) storeFails(err error) {
+func (n *Node) recordStoreFailure(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.storeBad {
-		n.storeBad = true
+	if !n.storeDown {
+		n.storeDown = true
 		n.log.Warn().Err(err).Msg("store does not answer")
 	}
 }
@@ -178,21 +178,21 @@
 // come from a relay may not have called the store recently; it is probed before it is given the
 // shard. n.mu must be held.
 func (n *Node) reachesStore() bool {
-	return !n.storeBad && (time.Since(n.storeAnsweredAt) < storeContactTTL || n.orders.relayed())
+	return !n.storeDown && (time.Since(n.storeAnsweredAt) < storeContactTTL || n.orders.relayed())
 }
 
-// beatLate and heartbeatLateShare set how late a heartbeat must be, as a minimum and as a share
+// minHeartbeatDelay and heartbeatDelayShare set how late a heartbeat must be, as a minimum and as a share
 // of its interval, before the owner is pinged and its row watched. The share keeps nodes with
 // long intervals from pinging the owner after most heartbeats.
 const (
-	beatLate           = 50 * time.Millisecond
-	heartbeatLateShare = 0.125
+	minHeartbeatDelay   = 50 * time.Millisecond
+	heartbeatDelayShare = 0.125
 )
 
-// overdue returns how long after the last heartbeat the owner is checked, given the interval
+// heartbeatDeadline returns how long after the last heartbeat the owner is checked, given the interval
 // until the next one.
-func overdue(next time.Duration) time.Duration {
-	return next + max(beatLate, time.Duration(heartbeatLateShare*float64(next)))
+func heartbeatDeadline(next time.Duration) time.Duration {
+	return next + max(minHeartbeatDelay, time.Duration(heartbeatDelayShare*float64(next)))
 }
 
 // Ready returns nil if the node can serve callers.
@@ -205,7 +205,7 @@
 	if n.stopping {
 		return &StoppingError{}
 	}
-	if n.own == nil && time.Since(n.anyOwnerHeardAt) > unreadyAfter {
+	if n.scheduler == nil && time.Since(n.anyOwnerHeardAt) > unreadyAfter {
 		return &NotOwnerError{}
 	}
 	return nil
@@ -223,7 +223,7 @@
 // Mux returns the handler of the calls from other nodes.
 func (n *Node) Mux() http.Handler {
 	mux := http.NewServeMux()
-	peer.Handle(mux, beatPath, n.handleHeartbeat)
+	peer.Handle(mux, heartbeatPath, n.handleHeartbeat)
 	peer.Handle(mux, pingPath, n.answerPing)
 	peer.Handle(mux, takeoverPath, n.answerTakeover)
 	peer.Handle(mux, submitPath, n.answerSubmit)
@@ -241,7 +241,7 @@
 func (n *Node) Stop(ctx context.Context) {
 	n.mu.Lock()
 	n.stopping = true
-	own := n.own
+	own := n.scheduler
 	n.mu.Unlock()
 	n.log.Info().Bool("owner", own != nil).Msg("stopping")
 	if own == nil {
@@ -263,7 +263,7 @@
 // own it.
 func (n *Node) AccountUsage() []scheduler.AccountUsage {
 	n.mu.Lock()
-	own := n.own
+	own := n.scheduler
 	n.mu.Unlock()
 	if own == nil {
 		return nil
@@ -275,5 +275,5 @@
 func (n *Node) Owns() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.own != nil
+	return n.scheduler != nil
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -29,7 +29,7 @@
 
 const service = "desk"
 
-var queue = workload.Queue{Name: "lookups", Service: service, Attempts: 3, Stretch: 1.5, Target: time.Second}
+var queue = workload.Queue{Name: "lookups", Service: service, MaxFailures: 3, ObjectiveFactor: 1.5, ObjectiveOffset: time.Second}
 
 // cell is a set of nodes with a simulated network, store and workers.
 type cell struct {
@@ -51,7 +51,7 @@
 type member struct {
 	*node.Node
 	name        string
-	storeCaller *memory.Caller
+	storeCaller *memory.Client
 	server      *peer.PlainServer
 	kill        context.CancelFunc
 	done        chan struct{}
@@ -103,7 +103,7 @@
 // start starts or restarts a node.
 func (c *cell) start(m *member) {
 	ctx, kill := context.WithCancel(c.ctx)
-	m.kill, m.done, m.storeCaller = kill, make(chan struct{}), c.store.Caller()
+	m.kill, m.done, m.storeCaller = kill, make(chan struct{}), c.store.NewClient()
 	m.starts++
 	caller := m.storeCaller
 	platform := node.Platform{
@@ -117,9 +117,9 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 		},
-		FollowOrders: func(ctx context.Context, changed func(routing.Table), evacuated func(evacuation.View), reach rowstore.Reach) {
+		FollowOrders: func(ctx context.Context, changed func(routing.Table), evacuated func(evacuation.View), reach rowstore.FollowOptions) {
 			var halls []string
-			reach.Current = func(version uint64, asOf clock.Instant) { evacuated(evacuation.NewView(halls, version, asOf)) }
+			reach.OnSynced = func(version uint64, asOf clock.Instant) { evacuated(evacuation.NewView(halls, version, asOf)) }
 			rowstore.Follow(ctx, caller, "config", "", func(rows map[string]rowstore.Row) {
 				halls = evacuatedHalls(rows)
 				changed(routingTable(rows))
@@ -127,9 +127,9 @@
 		},
 	}
 	config := node.Config{
-		Self:      node.Member{Node: m.name, Address: m.name, Hall: "h", Power: m.cores, Link: m.linkMbps},
-		Scheduler: scheduler.Config{Shard: "main", Lease: fleettest.MostLease, KeepFinal: time.Minute, EvacuateWithin: c.evacuateWithin},
-		Owns:      c.onOwnership,
+		Self:              node.Member{Node: m.name, Address: m.name, Hall: "h", Cores: m.cores, LinkMbps: m.linkMbps},
+		Scheduler:         scheduler.Config{Shard: "main", Lease: fleettest.MostLease, KeepFinal: time.Minute, EvacuateWithin: c.evacuateWithin},
+		OnOwnershipChange: c.onOwnership,
 	}
 	m.Node = node.New(ctx, config, platform, peer.NewPlainClientOver(c.network.Dial(m.name)), node.NewMetrics(), zerolog.Nop())
 	m.server = peer.NewPlainServer(c.network.Listen(m.name), m.Mux())
@@ -174,7 +174,7 @@
 	c.fleet.Know(id, fleettest.Kind{Request: request(), Attempts: 3})
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
 	defer cancel()
-	return m.Submit(ctx, id, workload.Record{Request: request(), Queue: queue, Accepted: time.Now().UnixMilli()})
+	return m.Submit(ctx, id, workload.Record{Request: request(), Queue: queue, AcceptedAt: time.Now().UnixMilli()})
 }
 
 // awaitCompleted waits until a node reports a job as completed.
@@ -249,13 +249,13 @@
 			c.network.Cut(m.name, other.name)
 			c.network.Cut(other.name, m.name)
 		}
-		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 	}, 3 * time.Second},
 	{"store refuses calls", func(_ *cell, m *member) {
-		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 	}, 3 * time.Second},
 	{"store does not answer", func(_ *cell, m *member) {
-		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 	}, 4 * time.Second},
 	{"lacks processor time", func(_ *cell, m *member) {
 		time.Sleep(3 * time.Second) // lag is ignored at the start of a term
@@ -264,7 +264,7 @@
 	{"graceful stop", func(c *cell, m *member) { m.Stop(c.ctx) }, 500 * time.Millisecond},
 }
 
-func TestAnOwnerIsSucceeded(t *testing.T) {
+func TestTakeoverAfterOwnerLoss(t *testing.T) {
 	for _, loss := range ownerLosses {
 		t.Run(loss.name, func(t *testing.T) {
 			runInCell(t, 3, func(c *cell) {
@@ -340,7 +340,7 @@
 		m := c.nodes[0]
 		c.stop(m)
 		c.start(m)
-		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		begun := time.Now()
 		err := c.submit(m, "job")
 		var overloaded *scheduler.RejectedError
@@ -366,7 +366,7 @@
 				disconnected = m
 			}
 		}
-		disconnected.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		disconnected.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		put := rowstore.Put{Key: rowstore.Key{Table: "config", Name: "x"}, Value: []byte("x")}
 		if _, err := c.store.Commit(c.ctx, rowstore.Transaction{Puts: []rowstore.Put{put}}); err != nil {
 			t.Fatal(err)
--- a/node/orders_test.go
+++ b/node/orders_test.go
@@ -39,7 +39,7 @@
 		extraQueue := queue
 		extraQueue.Name, extraQueue.Priority = fmt.Sprintf("r-%07d", i), 1
 		extraQueue.Advice = workload.AdvicePolicy{
-			Decision: 440 * time.Millisecond, Each: 6200 * time.Microsecond, Valid: 1500 * time.Millisecond,
+			CallLatency: 440 * time.Millisecond, PerWorkerLatency: 6200 * time.Microsecond, TicketTTL: 1500 * time.Millisecond,
 		}
 		route := routing.Route{Host: fmt.Sprintf("host%d.example", i%5), Prefix: fmt.Sprintf("/path%08d/", i), Queue: extraQueue}
 		table.Routes = append(table.Routes, route)
--- a/node/owner.go
+++ b/node/owner.go
@@ -41,13 +41,13 @@
 	// failingStoreHoldTimeout replaces holdTimeout while the store is failing: the transaction
 	// in progress would not finish, and it is rejected once the successor has taken the shard.
 	failingStoreHoldTimeout = 10 * time.Millisecond
-	// quickLook is how quickly the store must answer a prospective successor. handoverTimeout
+	// storeProbeTimeout is how quickly the store must answer a prospective successor. handoverTimeout
 	// bounds each call to a successor.
-	quickLook = 150 * time.Millisecond
-	// shortProbeTimeout replaces quickLook when the store has failed the owner only briefly and
+	storeProbeTimeout = 150 * time.Millisecond
+	// shortStoreProbeTimeout replaces quickLook when the store has failed the owner only briefly and
 	// may be slow for every node.
-	shortProbeTimeout = 50 * time.Millisecond
-	handoverTimeout   = 700 * time.Millisecond
+	shortStoreProbeTimeout = 50 * time.Millisecond
+	handoverTimeout        = 700 * time.Millisecond
 	// maxSuccessors bounds the nodes asked during one handover. handoverRetryDelay is the
 	// minimum time between handover attempts.
 	maxSuccessors      = 4
@@ -66,7 +66,7 @@
 	for ctx.Err() == nil {
 		wait.For(ctx, ownerCheckInterval)
 		n.mu.Lock()
-		skip := n.own != nil || n.stopping || !n.registered || time.Since(n.ownerHeardAt) < overdue(n.nextHeartbeatIn)
+		skip := n.scheduler != nil || n.stopping || !n.registered || time.Since(n.ownerHeardAt) < heartbeatDeadline(n.nextHeartbeatIn)
 		owner := n.owner
 		n.mu.Unlock()
 		if skip {
@@ -108,7 +108,7 @@
 func (n *Node) inSuccession() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rank("") < nearMost
+	return n.rank("") < maxNearNodes
 }
 
 // rank returns how many members, other than exclude, precede this node in the order of
@@ -150,17 +150,17 @@
 	} else {
 		statuses <- ownerUnknown
 	}
-	seen, err := leadership.Look(callCtx, n.platform.Store, n.config.Scheduler.Shard)
+	seen, err := leadership.ReadOwner(callCtx, n.platform.Store, n.config.Scheduler.Shard)
 	if err != nil {
-		n.storeFails(err)
+		n.recordStoreFailure(err)
 		return
 	}
-	n.storeAnswers()
+	n.recordStoreSuccess()
 	now := time.Now()
 	if seen.Version != suspicion.version {
 		*suspicion = ownerSuspicion{version: seen.Version, unchangedSince: now}
 	}
-	seen.Since = suspicion.unchangedSince
+	seen.FirstSeen = suspicion.unchangedSince
 	var status ownerStatus
 	select {
 	case status = <-statuses:
@@ -185,7 +185,7 @@
 	if !n.waitTurn(ctx, seen) {
 		return
 	}
-	n.lose(seen.Node)
+	n.markLost(seen.Node)
 	n.takeOwnership(ctx, seen, "the owner "+seen.Node+" is silent")
 }
 
@@ -206,14 +206,14 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	answer, err := peer.Call[pingAnswer](callCtx, n.client, owner.Address, pingPath, nothing{})
+	answer, err := peer.Call[pingResponse](callCtx, n.client, owner.Address, pingPath, empty{})
 	switch {
 	case err != nil && isRefused(err):
 		return ownerGone
 	case err != nil:
 		return ownerUnknown
-	case answer.Owns:
-		n.ownerHeard(answer.Owner, beatEvery)
+	case answer.IsOwner:
+		n.ownerHeard(answer.Owner, heartbeatInterval)
 		return ownerAlive
 	case answer.Owner.Token > owner.Token && owner.Token != 0 && answer.Owner.Address != owner.Address:
 		n.learnOwner(answer.Owner)
@@ -222,18 +222,18 @@
 	return ownerGone
 }
 
-// doubtOwner schedules an immediate check of an owner whose machine refuses connections.
-func (n *Node) doubtOwner(owner ownership) {
+// suspectOwner schedules an immediate check of an owner whose machine refuses connections.
+func (n *Node) suspectOwner(owner ownership) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.owner == owner && n.own == nil {
+	if n.owner == owner && n.scheduler == nil {
 		n.ownerHeardAt = time.Time{}
 	}
 }
 
 // waitTurn delays this node by its rank, so that nodes try to take the shard one after another.
 // It reports whether the shard still has no owner afterwards.
-func (n *Node) waitTurn(ctx context.Context, seen leadership.Sighting) bool {
+func (n *Node) waitTurn(ctx context.Context, seen leadership.ObservedRow) bool {
 	n.mu.Lock()
 	rank := n.rank(seen.Node)
 	n.mu.Unlock()
@@ -241,22 +241,22 @@
 	wait.For(ctx, time.Duration(min(rank, maxDelayedRank))*rankDelay)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return ctx.Err() == nil && n.own == nil && !n.stopping && n.ownerHeardAt.Before(begun)
+	return ctx.Err() == nil && n.scheduler == nil && !n.stopping && n.ownerHeardAt.Before(begun)
 }
 
-// lose marks a node as lost until it answers a heartbeat, so that calls do not wait for it.
-func (n *Node) lose(node string) {
+// markLost marks a node as lost until it answers a heartbeat, so that calls do not wait for it.
+func (n *Node) markLost(node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.peers[node] = peerState{lost: true, failedAt: time.Now()}
 }
 
 // takeOwnership makes this node the owner unless the owner's row has changed since it was seen.
-func (n *Node) takeOwnership(ctx context.Context, seen leadership.Sighting, why string) error {
+func (n *Node) takeOwnership(ctx context.Context, seen leadership.ObservedRow, why string) error {
 	n.takeoverMu.Lock()
 	defer n.takeoverMu.Unlock()
 	n.mu.Lock()
-	isOwner, stopping := n.own != nil, n.stopping
+	isOwner, stopping := n.scheduler != nil, n.stopping
 	n.takingOver = true
 	n.mu.Unlock()
 	defer n.endTakeover()
@@ -270,14 +270,14 @@
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	self := n.config.Self
-	term, err := leadership.Take(callCtx, n.platform.Store, n.config.Scheduler.Shard, self.Node, self.Address, seen)
+	term, err := leadership.Acquire(callCtx, n.platform.Store, n.config.Scheduler.Shard, self.Node, self.Address, seen)
 	if err != nil {
 		n.log.Info().Err(err).Str("why", why).Msg("takeover of the shard failed")
 		return err
 	}
-	n.storeAnswers()
+	n.recordStoreSuccess()
 	n.log.Info().Uint64("token", term.Token()).Uint64("from", seen.Version).Str("why", why).Msg("shard taken")
-	n.ownerHeard(ownership{self.Node, self.Address, term.Token()}, beatEvery)
+	n.ownerHeard(ownership{self.Node, self.Address, term.Token()}, heartbeatInterval)
 	n.startTerm(term, begun)
 	return nil
 }
@@ -293,7 +293,7 @@
 	ctx, cancel := context.WithCancel(n.ctx)
 	own := scheduler.New(n.config.Scheduler, n.platform.Store, n.platform.Workers, term, n.metrics.Scheduler, n.log)
 	n.mu.Lock()
-	n.own, n.cancelTerm, n.termStartedAt = own, cancel, time.Now()
+	n.scheduler, n.cancelTerm, n.termStartedAt = own, cancel, time.Now()
 	n.mu.Unlock()
 	n.config.notifyOwnership(true)
 	n.sendHeartbeats(allNodesTurn)
@@ -311,9 +311,9 @@
 			err = own.Run(ctx)
 		}
 		n.mu.Lock()
-		current := n.own == own
+		current := n.scheduler == own
 		if current {
-			n.own, n.cancelTerm = nil, nil
+			n.scheduler, n.cancelTerm = nil, nil
 		}
 		n.ownerHeardAt = time.Time{}
 		n.mu.Unlock()
@@ -347,7 +347,7 @@
 			n.sendHeartbeats(allNodesTurn)
 		}
 		first = false
-	}, rowstore.Reach{})
+	}, rowstore.FollowOptions{})
 }
 
 // load reads the shard's rows, and retries until that succeeds. If loading fails and the store
@@ -355,22 +355,22 @@
 // answers quickly keeps the shard, since loading would take as long elsewhere.
 func (n *Node) load(ctx context.Context, own *scheduler.Scheduler) error {
 	begun, stallLimit := time.Now(), initialStallLimit
-	n.loadFails.Store(false)
+	n.loadFailing.Store(false)
 	for {
 		callCtx, cancel := transfer.WithStallLimit(ctx, stallLimit, nil)
 		err := own.Load(callCtx)
 		cancel()
 		stallLimit = min(maxStallLimit, 2*stallLimit)
 		if err == nil {
-			n.loadFails.Store(false)
+			n.loadFailing.Store(false)
 			if table, ok := n.routes.Current(); ok {
 				configure(own, table)
 			}
 			return nil
 		}
-		n.loadFails.Store(true)
+		n.loadFailing.Store(true)
 		n.log.Warn().Err(err).Msg("shard cannot be loaded yet")
-		if time.Since(begun) > loadHandoverAfter && n.probeStore(ctx, quickLook) != nil {
+		if time.Since(begun) > loadHandoverAfter && n.probeStore(ctx, storeProbeTimeout) != nil {
 			n.handOver(ctx, "this node cannot load the shard from the store", anySuccessor)
 		}
 		if err := wait.For(ctx, storeRetryDelay); err != nil {
--- a/node/relay.go
+++ b/node/relay.go
@@ -29,10 +29,10 @@
 	// its orders. A node remains a relay for relayAssignmentTTL after the owner last assigned it.
 	// It is ready while its orders are younger than maxReadyAge.
 	relayFeedWait      = 500 * time.Millisecond
-	relayAssignmentTTL = 3 * farSlowest
+	relayAssignmentTTL = 3 * maxFarHeartbeatInterval
 	maxReadyAge        = 1200 * time.Millisecond
-	// relayTerm is how long a new owner collects reports of which relays are ready.
-	relayTerm = 2 * farSlowest
+	// relayUndecidedPeriod is how long a new owner collects reports of which relays are ready.
+	relayUndecidedPeriod = 2 * maxFarHeartbeatInterval
 	// maxOrdersAge is the maximum age of a node's orders after a relay's response. They age by
 	// another relayPollWait before the next one. The relay's own feed calls account for up to
 	// twice relayFeedWait.
@@ -41,8 +41,8 @@
 	relayRetryDelay = 5 * time.Second
 )
 
-// orderExchange tracks from where a node gets the operator's orders.
-type orderExchange struct {
+// orderSource tracks from where a node gets the operator's orders.
+type orderSource struct {
 	mu          sync.Mutex
 	relay       string    // address assigned by the owner; empty: the store
 	failedRelay string    // address of the relay that failed last
@@ -54,19 +54,19 @@
 
 // assign records the relay named in a heartbeat, and whether the heartbeat assigns this node as a
 // relay.
-func (e *orderExchange) assign(message beat, now time.Time) {
+func (e *orderSource) assign(message heartbeat, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !message.Undecided {
+	if !message.RelayUndecided {
 		e.relay = message.Relay
 	}
-	if message.Relays {
+	if message.IsRelay {
 		e.assignedAt = now
 	}
 }
 
-// usable returns the address of the relay to ask, or "" if there is none or it failed recently.
-func (e *orderExchange) usable(now time.Time) string {
+// usableRelay returns the address of the relay to ask, or "" if there is none or it failed recently.
+func (e *orderSource) usableRelay(now time.Time) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.relay == e.failedRelay && now.Sub(e.failedAt) < relayRetryDelay {
@@ -75,21 +75,21 @@
 	return e.relay
 }
 
-func (e *orderExchange) markFailed(relay string, now time.Time) {
+func (e *orderSource) markFailed(relay string, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failedRelay, e.failedAt = relay, now
 }
 
 // setViaRelay records whether the orders come from a relay.
-func (e *orderExchange) setViaRelay(viaRelay bool) {
+func (e *orderSource) setViaRelay(viaRelay bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.viaRelay = viaRelay
 }
 
 // relayed reports whether the orders come from a relay.
-func (e *orderExchange) relayed() bool {
+func (e *orderSource) relayed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.viaRelay
@@ -97,7 +97,7 @@
 
 // feedWait returns how long the feed calls of this node may stay open if it is a relay; 0: no
 // limit beyond the default.
-func (e *orderExchange) feedWait(now time.Time) time.Duration {
+func (e *orderSource) feedWait(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if now.Sub(e.assignedAt) < relayAssignmentTTL {
@@ -106,8 +106,8 @@
 	return 0
 }
 
-// news wakes the requests that wait for newer orders.
-func (e *orderExchange) news() {
+// notifyChange wakes the requests that wait for newer orders.
+func (e *orderSource) notifyChange() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.changed != nil {
@@ -117,7 +117,7 @@
 }
 
 // nextChange returns a channel that is closed at the next call of news.
-func (e *orderExchange) nextChange() <-chan struct{} {
+func (e *orderSource) nextChange() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.changed == nil {
@@ -140,12 +140,12 @@
 // without a table.
 func (n *Node) currentRelay() string {
 	n.mu.Lock()
-	owns := n.own != nil
+	owns := n.scheduler != nil
 	n.mu.Unlock()
 	if _, ok := n.routes.Current(); !ok || owns {
 		return ""
 	}
-	return n.orders.usable(time.Now())
+	return n.orders.usableRelay(time.Now())
 }
 
 // followStore follows the store's feed until there is a relay to ask.
@@ -159,15 +159,15 @@
 			stop()
 		}
 	}
-	n.platform.FollowOrders(ctx, onTable, n.takeEvacuations, rowstore.Reach{
-		Answered: onAnswer, Failed: n.feedFailed, Progressed: n.feedProgressed, Received: n.feedReceived, Wait: n.feedWait,
+	n.platform.FollowOrders(ctx, onTable, n.applyEvacuations, rowstore.FollowOptions{
+		OnResponse: onAnswer, OnError: n.feedFailed, OnProgress: n.feedProgressed, OnReceived: n.feedReceived, PollWait: n.feedWait,
 	})
 }
 
 // feedWait returns how long a feed call may stay open; 0: no limit beyond the default.
 func (n *Node) feedWait() time.Duration {
 	wait := n.orders.feedWait(time.Now())
-	if within := n.config.Scheduler.EvacuateWithin / evacuationCalls; within > 0 && (wait == 0 || within < wait) {
+	if within := n.config.Scheduler.EvacuateWithin / feedCallsPerEvacuation; within > 0 && (wait == 0 || within < wait) {
 		wait = within
 	}
 	return wait
@@ -204,13 +204,13 @@
 
 // pollRelay requests newer orders from a relay and applies them.
 func (n *Node) pollRelay(parent context.Context, relay string) error {
-	ctx, cancel := transfer.WithStallLimit(parent, relayPollWait+relayCallMargin, func() { n.tables.setArriving(true) })
+	ctx, cancel := transfer.WithStallLimit(parent, relayPollWait+relayCallMargin, func() { n.tables.setReceiving(true) })
 	defer cancel()
-	defer n.tables.setArriving(false)
+	defer n.tables.setReceiving(false)
 	table, _ := n.routes.Current()
 	view := n.evacuations.Current()
 	sent := clock.Now()
-	answer, err := peer.Call[ordersResponse](ctx, n.client, relay, ordersPath, ordersCall{table.Version, view.Version(), view.Halls(), relayPollWait})
+	answer, err := peer.Call[ordersResponse](ctx, n.client, relay, ordersPath, ordersRequest{table.Version, view.Version(), view.Halls(), relayPollWait})
 	if err != nil {
 		return err
 	}
@@ -235,16 +235,16 @@
 		n.metrics.tableExchanges.Add(fromRelay, 1)
 		n.routes.Offer(table)
 	}
-	n.takeEvacuations(evacuation.NewView(answer.Halls, answer.EvacuationVersion, now.Before(age)))
-	if !n.routes.Lacks(answer.TableVersion) {
-		n.tables.current(age)
+	n.applyEvacuations(evacuation.NewView(answer.Halls, answer.EvacuationVersion, now.Before(age)))
+	if !n.routes.OlderThan(answer.TableVersion) {
+		n.tables.confirm(age)
 	}
 	return nil
 }
 
 // answerOrders holds a node's request until there are newer orders for it, or until the wait it
 // allows has passed. It fails at once if the store does not answer this relay.
-func (n *Node) answerOrders(ctx context.Context, call ordersCall) (ordersResponse, error) {
+func (n *Node) answerOrders(ctx context.Context, call ordersRequest) (ordersResponse, error) {
 	begun := time.Now()
 	timer := time.NewTimer(min(call.Wait, relayPollWait))
 	defer timer.Stop()
@@ -258,7 +258,7 @@
 			return ordersResponse{}, &NoTableError{}
 		}
 		view := n.evacuations.Current()
-		if table.Version > call.TableVersion || call.lacks(view) {
+		if table.Version > call.TableVersion || call.outdatedBy(view) {
 			return n.currentOrders(call, time.Since(begun))
 		}
 		select {
@@ -271,14 +271,14 @@
 	}
 }
 
-// lacks reports whether a view is newer than the caller's and lists different halls. A caller
+// outdatedBy reports whether a view is newer than the caller's and lists different halls. A caller
 // whose view is newer than the relay's is held like any other.
-func (c ordersCall) lacks(view evacuation.View) bool {
-	return view.Version() > c.Evacuations && !view.SameHalls(evacuation.NewView(c.Halls, c.Evacuations, clock.Instant{}))
+func (c ordersRequest) outdatedBy(view evacuation.View) bool {
+	return view.Version() > c.EvacuationVersion && !view.SameHalls(evacuation.NewView(c.Halls, c.EvacuationVersion, clock.Instant{}))
 }
 
 // currentOrders returns the operator's orders as known to this node.
-func (n *Node) currentOrders(call ordersCall, held time.Duration) (ordersResponse, error) {
+func (n *Node) currentOrders(call ordersRequest, held time.Duration) (ordersResponse, error) {
 	table, _ := n.routes.Current()
 	view := n.evacuations.Current()
 	age, known := view.Age(clock.Now())
@@ -294,8 +294,8 @@
 	return answer, err
 }
 
-// relaysNow reports whether this node is assigned as a relay and its orders are fresh enough.
-func (n *Node) relaysNow() bool {
+// relayReady reports whether this node is assigned as a relay and its orders are fresh enough.
+func (n *Node) relayReady() bool {
 	age, known := n.evacuations.Current().Age(clock.Now())
 	return known && age < maxReadyAge && n.orders.feedWait(time.Now()) > 0
 }
@@ -304,7 +304,7 @@
 func (n *Node) storeUnavailable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.storeBad
+	return n.storeDown
 }
 
 // StoreUnavailableError reports that a node cannot act as a relay because the store does not
--- a/node/relay_test.go
+++ b/node/relay_test.go
@@ -45,12 +45,12 @@
 }
 
 // Nodes with a relay make no calls to the store, neither when idle nor when the configuration changes.
-func TestRelaysSpareTheStore(t *testing.T) {
+func TestNodesWithRelayMakeNoStoreCalls(t *testing.T) {
 	runInRelayCell(t, func(c *cell, _, served []*member) {
 		calls := map[*member]int{}
 		var rows atomic.Int64
 		for _, m := range served {
-			calls[m] = m.storeCaller.Calls()
+			calls[m] = m.storeCaller.CallCount()
 			m.storeCaller.Observe(func(page rowstore.Page) { rows.Add(int64(len(page.Rows))) })
 		}
 		time.Sleep(10 * time.Second)
@@ -59,7 +59,7 @@
 			c.assertConfigurationVersion(m, 2, applyLimit/4)
 		}
 		for _, m := range served {
-			if made := m.storeCaller.Calls() - calls[m]; made > 0 {
+			if made := m.storeCaller.CallCount() - calls[m]; made > 0 {
 				t.Errorf("%s made %d calls to the store, want 0", m.name, made)
 			}
 		}
@@ -70,7 +70,7 @@
 }
 
 // A configuration change reaches nodes in time although their relay failed before it.
-func TestAChangeReachesNodesWhoseRelayFails(t *testing.T) {
+func TestConfigurationReachesNodesWhoseRelayFails(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(c *cell, relay *member) (restore func())
@@ -90,11 +90,11 @@
 			}
 		}},
 		{"store refuses the relay", func(_ *cell, relay *member) func() {
-			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 			return func() { relay.storeCaller.SetFault(nil) }
 		}},
 		{"store does not answer the relay", func(_ *cell, relay *member) func() {
-			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+			relay.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 			return func() { relay.storeCaller.SetFault(nil) }
 		}},
 	}
@@ -136,14 +136,14 @@
 		}
 		calls := map[*member]int{}
 		for _, m := range served {
-			calls[m] = m.storeCaller.Calls()
+			calls[m] = m.storeCaller.CallCount()
 		}
 		owner.Stop(c.ctx)
 		c.stop(owner)
 		time.Sleep(8 * time.Second)
 		next := c.owner()
 		for _, m := range served {
-			if made := m.storeCaller.Calls() - calls[m]; made > 0 && m != next && m.Relay() != "" {
+			if made := m.storeCaller.CallCount() - calls[m]; made > 0 && m != next && m.Relay() != "" {
 				t.Errorf("%s made %d calls to the store, want 0", m.name, made)
 			}
 		}
--- a/node/relayplan.go
+++ b/node/relayplan.go
@@ -14,15 +14,15 @@
 
 // relayPlan assigns relays to nodes. It is immutable.
 type relayPlan struct {
-	// chosen holds the names of the nodes assigned as relays.
-	chosen map[string]bool
-	// relays maps names of nodes to the addresses of their relays.
-	relays map[string]string
+	// relayNodes holds the names of the nodes assigned as relays.
+	relayNodes map[string]bool
+	// relayAddress maps names of nodes to the addresses of their relayAddress.
+	relayAddress map[string]string
 }
 
 // relayPlan returns the plan for the current members and their readiness. n.mu must be held.
 func (n *Node) relayPlan(ranked []Member) relayPlan {
-	if n.plan != nil && n.planAt == n.memberSerial {
+	if n.plan != nil && n.planVersion == n.membersVersion {
 		return *n.plan
 	}
 	var present []Member
@@ -32,7 +32,7 @@
 		}
 	}
 	plan := planRelays(present, n.config.Self.Node, func(member Member) bool { return n.peers[member.Node].relays })
-	n.plan, n.planAt = &plan, n.memberSerial
+	n.plan, n.planVersion = &plan, n.membersVersion
 	return plan
 }
 
@@ -51,8 +51,8 @@
 			plan.addHall(members, ready)
 		}
 	}
-	for _, member := range ranked[:min(len(ranked), succession)] {
-		delete(plan.relays, member.Node) // a likely successor reads the store, so that its orders are fresh on takeover
+	for _, member := range ranked[:min(len(ranked), successionSize)] {
+		delete(plan.relayAddress, member.Node) // a likely successor reads the store, so that its orders are fresh on takeover
 	}
 	return plan
 }
@@ -63,30 +63,30 @@
 	var relays, others []Member
 	room := 0
 	for _, member := range members {
-		served := followersOf(member)
+		served := followerLimit(member)
 		if served == 0 || room >= len(members)-len(relays) {
 			others = append(others, member)
 			continue
 		}
-		p.chosen[member.Node] = true
+		p.relayNodes[member.Node] = true
 		relays = append(relays, member)
 		room += served
 	}
 	for _, relay := range relays {
-		served := min(followersOf(relay), len(others))
+		served := min(followerLimit(relay), len(others))
 		for _, other := range others[:served] {
 			if ready(relay) {
-				p.relays[other.Node] = relay.Address
+				p.relayAddress[other.Node] = relay.Address
 			}
 		}
 		others = others[served:]
 	}
 }
 
-// followersOf returns how many nodes a member may serve as a relay.
-func followersOf(member Member) int {
-	if member.Link < minRelayLink {
+// followerLimit returns how many nodes a member may serve as a relay.
+func followerLimit(member Member) int {
+	if member.LinkMbps < minRelayLink {
 		return 0
 	}
-	return min(maxFollowers, int(member.Link/linkPerFollower))
+	return min(maxFollowers, int(member.LinkMbps/linkPerFollower))
 }
--- a/node/relayplan_test.go
+++ b/node/relayplan_test.go
@@ -13,9 +13,9 @@
 func hallMembers(hall string, fast, slow int, link float64) []Member {
 	var members []Member
 	for i := range fast + slow {
-		member := Member{Node: fmt.Sprintf("%s-%03d", hall, i), Address: fmt.Sprintf("%s-%03d:1", hall, i), Hall: hall, Power: 0.2, Link: 20}
+		member := Member{Node: fmt.Sprintf("%s-%03d", hall, i), Address: fmt.Sprintf("%s-%03d:1", hall, i), Hall: hall, Cores: 0.2, LinkMbps: 20}
 		if i < fast {
-			member.Power, member.Link = 1.6, link
+			member.Cores, member.LinkMbps = 1.6, link
 		}
 		members = append(members, member)
 	}
@@ -41,13 +41,13 @@
 			members := hallMembers("h", test.fast, test.slow, test.link)
 			slices.SortFunc(members, Member.compare)
 			plan := planRelays(members, members[0].Node, func(Member) bool { return true })
-			assigned := plan.relays
+			assigned := plan.relayAddress
 			followers := map[string]int{}
 			for _, relay := range assigned {
 				followers[relay]++
 			}
 			for _, member := range members {
-				if limit := followersOf(member); followers[member.Address] > limit {
+				if limit := followerLimit(member); followers[member.Address] > limit {
 					t.Errorf("%s serves %d nodes, want %d at most", member.Node, followers[member.Address], limit)
 				}
 				if _, has := assigned[member.Node]; has && followers[member.Address] > 0 {
@@ -70,15 +70,15 @@
 	view := evacuation.NewView([]string{"north"}, 7, clock.Now())
 	for _, test := range []struct {
 		name string
-		call ordersCall
+		call ordersRequest
 		want bool
 	}{
-		{"an older view of other halls", ordersCall{Evacuations: 5}, true},
-		{"an older view of the same halls", ordersCall{Evacuations: 5, Halls: []string{"north"}}, false},
-		{"the same view", ordersCall{Evacuations: 7, Halls: []string{"north"}}, false},
-		{"a later view of other halls", ordersCall{Evacuations: 9}, false},
+		{"an older view of other halls", ordersRequest{EvacuationVersion: 5}, true},
+		{"an older view of the same halls", ordersRequest{EvacuationVersion: 5, Halls: []string{"north"}}, false},
+		{"the same view", ordersRequest{EvacuationVersion: 7, Halls: []string{"north"}}, false},
+		{"a later view of other halls", ordersRequest{EvacuationVersion: 9}, false},
 	} {
-		if got := test.call.lacks(view); got != test.want {
+		if got := test.call.outdatedBy(view); got != test.want {
 			t.Errorf("%s: lacks() = %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -93,7 +93,7 @@
 	}
 	slices.SortFunc(members, Member.compare)
 	ready := func(member Member) bool { return member.Node != "b-000" }
-	assigned := planRelays(members, "a-000", ready).relays
+	assigned := planRelays(members, "a-000", ready).relayAddress
 	if len(assigned) < len(members)/2 {
 		t.Errorf("%d of %d nodes have a relay", len(assigned), len(members))
 	}
@@ -102,7 +102,7 @@
 			t.Errorf("%s is assigned relay %s, want a ready relay of its own hall", node, relay)
 		}
 	}
-	for node, relay := range planRelays(members, "a-000", ready).relays {
+	for node, relay := range planRelays(members, "a-000", ready).relayAddress {
 		if assigned[node] != relay {
 			t.Errorf("%s is assigned relay %s in the second plan and %q in the first", node, relay, assigned[node])
 		}
--- a/node/return_test.go
+++ b/node/return_test.go
@@ -10,7 +10,7 @@
 
 // When all nodes restart at the same time, only the first in the succession takes over: every takeover
 // loads the whole shard.
-func TestOneNodeTakesTheShardWhenAllComeBack(t *testing.T) {
+func TestOneTakeoverWhenAllNodesRestart(t *testing.T) {
 	runInCell(t, 24, func(c *cell) {
 		c.submit(c.nodes[0], "before")
 		for _, m := range c.nodes {
@@ -26,9 +26,9 @@
 			c.start(m)
 			m.storeCaller.SetFault(func(write bool) memory.Fault {
 				if write {
-					return memory.Fault{Return: 100 * time.Millisecond}
+					return memory.Fault{ResponseDelay: 100 * time.Millisecond}
 				}
-				return memory.Fault{Slow: time.Duration(i) * 7 * time.Millisecond}
+				return memory.Fault{Delay: time.Duration(i) * 7 * time.Millisecond}
 			})
 		}
 		time.Sleep(2 * time.Second)
--- a/node/serve.go
+++ b/node/serve.go
@@ -29,7 +29,7 @@
 	err := n.serve(ctx, id, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Submit(ctx, id, record)
 	}, func(ctx context.Context, address string, timeout time.Duration) error {
-		_, err := peer.Call[nothing](ctx, n.client, address, submitPath, submitRequest{id, record, timeout, caller})
+		_, err := peer.Call[empty](ctx, n.client, address, submitPath, submitRequest{id, record, timeout, caller})
 		return err
 	})
 	var overloaded *scheduler.RejectedError
@@ -44,7 +44,7 @@
 	return n.serve(ctx, id, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Cancel(ctx, caller.Account, id)
 	}, func(ctx context.Context, address string, timeout time.Duration) error {
-		_, err := peer.Call[nothing](ctx, n.client, address, cancelPath, jobRequest{id, timeout, caller})
+		_, err := peer.Call[empty](ctx, n.client, address, cancelPath, jobRequest{id, timeout, caller})
 		return err
 	})
 }
@@ -111,7 +111,7 @@
 // tryServe tries a call once at the currently known owner.
 func (n *Node) tryServe(ctx context.Context, id string, local func(context.Context, *scheduler.Scheduler) error, remote func(context.Context, string, time.Duration) error) error {
 	n.mu.Lock()
-	own, owner, changed := n.own, n.owner, n.changed
+	own, owner, changed := n.scheduler, n.owner, n.changed
 	n.mu.Unlock()
 	if own != nil {
 		return n.serveLocal(ctx, own, local)
@@ -130,7 +130,7 @@
 	}()
 	err := remote(callCtx, owner.Address, ownerCallTimeout)
 	if isRefused(err) {
-		n.doubtOwner(owner)
+		n.suspectOwner(owner)
 	}
 	return decodeError(id, err)
 }
@@ -159,7 +159,7 @@
 		return nil
 	default:
 	}
-	if n.loadFails.Load() {
+	if n.loadFailing.Load() {
 		return &scheduler.RejectedError{Reason: "loading the shard from the store fails", RetryAfter: retryAfter}
 	}
 	timer := time.NewTimer(loadTimeout)
@@ -177,7 +177,7 @@
 // caller against this node's table again, as the other node may have an older one.
 func (n *Node) serveAsOwner(ctx context.Context, caller routing.Caller, timeout time.Duration, local func(context.Context, *scheduler.Scheduler) error) error {
 	n.mu.Lock()
-	own := n.own
+	own := n.scheduler
 	n.mu.Unlock()
 	if own == nil {
 		return &NotOwnerError{}
@@ -195,14 +195,14 @@
 	return encodeError(n.serveLocal(ctx, own, local))
 }
 
-func (n *Node) answerSubmit(ctx context.Context, call submitRequest) (nothing, error) {
-	return nothing{}, n.serveAsOwner(ctx, call.Caller, call.Timeout, func(ctx context.Context, own *scheduler.Scheduler) error {
+func (n *Node) answerSubmit(ctx context.Context, call submitRequest) (empty, error) {
+	return empty{}, n.serveAsOwner(ctx, call.Caller, call.Timeout, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Submit(ctx, call.ID, call.Record)
 	})
 }
 
-func (n *Node) answerCancel(ctx context.Context, call jobRequest) (nothing, error) {
-	return nothing{}, n.serveAsOwner(ctx, call.Caller, call.Timeout, func(ctx context.Context, own *scheduler.Scheduler) error {
+func (n *Node) answerCancel(ctx context.Context, call jobRequest) (empty, error) {
+	return empty{}, n.serveAsOwner(ctx, call.Caller, call.Timeout, func(ctx context.Context, own *scheduler.Scheduler) error {
 		return own.Cancel(ctx, call.Caller.Account, call.ID)
 	})
 }
--- a/node/table.go
+++ b/node/table.go
@@ -17,17 +17,17 @@
 const (
 	// fetchStallLimit is how long the transfer of a table from another node may make no progress.
 	fetchStallLimit = 2 * time.Second
-	// fetchAfter is how long to wait for the store to start sending a newer table before it is
+	// fetchDelay is how long to wait for the store to start sending a newer table before it is
 	// fetched from another node. Both at once would take twice as long on a narrow link.
-	fetchAfter = 2 * beatEvery
+	fetchDelay = 2 * heartbeatInterval
 	// largeResponseBytes is the size from which a response of the store is logged.
 	largeResponseBytes = 64 << 10
 )
 
-// tableExchange tracks how current a node's table of routes is and the transfers of newer tables.
+// tableTracker tracks how current a node's table of routes is and the transfers of newer tables.
 // A node fetches at most one table from other nodes at a time, and none while the store or a relay
 // sends one.
-type tableExchange struct {
+type tableTracker struct {
 	mu          sync.Mutex
 	behindSince time.Time // when a newer table became known; zero: none is known
 	receiving   bool      // a response of the store or a relay has started and is not applied yet
@@ -49,9 +49,9 @@
 	n.tables.mu.Lock()
 	n.tables.behindSince = time.Time{}
 	n.tables.mu.Unlock()
-	n.orders.news()
+	n.orders.notifyChange()
 	n.mu.Lock()
-	own := n.own
+	own := n.scheduler
 	n.mu.Unlock()
 	if own != nil {
 		configure(own, table)
@@ -85,15 +85,15 @@
 
 // age returns the time since the table was last confirmed as the newest, or tableTrustPeriod if it
 // never was. e.mu must be held.
-func (e *tableExchange) age(now clock.Instant) time.Duration {
+func (e *tableTracker) age(now clock.Instant) time.Duration {
 	if e.confirmedAt.IsZero() {
 		return tableTrustPeriod
 	}
 	return e.confirmedAge + now.Sub(e.confirmedAt)
 }
 
-// current records that this node's table was the newest the given time ago.
-func (e *tableExchange) current(ago time.Duration) {
+// confirm records that this node's table was the newest the given time ago.
+func (e *tableTracker) confirm(ago time.Duration) {
 	now := clock.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,18 +105,18 @@
 // feedProgressed records that a part of a response of the store has arrived. The store then counts
 // as available, however long the whole response takes.
 func (n *Node) feedProgressed() {
-	n.storeAnswers()
-	n.tables.setArriving(true)
+	n.recordStoreSuccess()
+	n.tables.setReceiving(true)
 }
 
 // feedAnswered records that a response of the store is complete and applied.
 func (n *Node) feedAnswered() {
-	n.storeAnswers()
-	n.tables.setArriving(false)
-	n.tables.current(0)
+	n.recordStoreSuccess()
+	n.tables.setReceiving(false)
+	n.tables.confirm(0)
 }
 
-func (e *tableExchange) setArriving(receiving bool) {
+func (e *tableTracker) setReceiving(receiving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.receiving = receiving
@@ -134,35 +134,35 @@
 
 // feedFailed records a failed feed call. It logs each call whose response was interrupted.
 func (n *Node) feedFailed(err *rowstore.FollowError) {
-	n.storeFails(err)
-	n.orders.news() // waiting followers get an error and turn to the store
-	n.tables.setArriving(false)
+	n.recordStoreFailure(err)
+	n.orders.notifyChange() // waiting followers get an error and turn to the store
+	n.tables.setReceiving(false)
 	partial := transfer.ReceivedBefore(err)
 	if partial.Bytes == 0 {
 		return
 	}
 	n.metrics.tableExchanges.Add(storeBrokenOff, 1)
-	n.log.Warn().Str("table", err.Table).Str("exchange", string(err.Exchange)).Int("bytes", partial.Bytes).
+	n.log.Warn().Str("table", err.Table).Str("exchange", string(err.Request)).Int("bytes", partial.Bytes).
 		Dur("took", err.Took).Err(err).Msg("answer of the store broke off")
 }
 
-// hearOfTable records the version of another node's table, and fetches that table if it is newer
+// noteTableVersion records the version of another node's table, and fetches that table if it is newer
 // than this node's and the store does not send it.
-func (n *Node) hearOfTable(version uint64, address string) {
-	if version == 0 || !n.routes.Lacks(version) {
+func (n *Node) noteTableVersion(version uint64, address string) {
+	if version == 0 || !n.routes.OlderThan(version) {
 		return
 	}
 	n.mu.Lock()
-	storeBad := n.storeBad
+	storeBad := n.storeDown
 	n.mu.Unlock()
-	if n.tables.mayFetch(time.Now(), storeBad) {
+	if n.tables.beginFetch(time.Now(), storeBad) {
 		n.tasks.Go(func() { n.fetchTable(address) })
 	}
 }
 
-// mayFetch reports whether to fetch a newer table from another node now. If so, it marks the fetch
+// beginFetch reports whether to fetch a newer table from another node now. If so, it marks the fetch
 // as started.
-func (e *tableExchange) mayFetch(now time.Time, storeBad bool) bool {
+func (e *tableTracker) beginFetch(now time.Time, storeBad bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.behindSince.IsZero() {
@@ -171,14 +171,14 @@
 	if e.fetching || e.receiving {
 		return false
 	}
-	if !storeBad && now.Sub(e.behindSince) < fetchAfter {
+	if !storeBad && now.Sub(e.behindSince) < fetchDelay {
 		return false
 	}
 	e.fetching = true
 	return true
 }
 
-func (e *tableExchange) fetched() {
+func (e *tableTracker) endFetch() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fetching = false
@@ -186,11 +186,11 @@
 
 // fetchTable fetches the table of routes from another node.
 func (n *Node) fetchTable(address string) {
-	defer n.tables.fetched()
+	defer n.tables.endFetch()
 	ctx, cancel := transfer.WithStallLimit(n.ctx, fetchStallLimit, nil)
 	defer cancel()
 	begun := time.Now()
-	table, err := peer.Call[routing.Table](ctx, n.client, address, tablePath, nothing{})
+	table, err := peer.Call[routing.Table](ctx, n.client, address, tablePath, empty{})
 	if err != nil {
 		n.metrics.tableExchanges.Add(nodeFetchFailed, 1)
 		n.log.Warn().Str("from", address).Int("bytes", transfer.ReceivedBefore(err).Bytes).
@@ -205,7 +205,7 @@
 }
 
 // answerTable sends the table of routes to another node.
-func (n *Node) answerTable(context.Context, nothing) (codec.Raw, error) {
+func (n *Node) answerTable(context.Context, empty) (codec.Raw, error) {
 	table, ok := n.routes.Current()
 	if !ok {
 		return nil, &NoTableError{}
@@ -216,7 +216,7 @@
 
 // encode returns the encoded table. The result is cached for each version, because many nodes may
 // request it at once.
-func (e *tableExchange) encode(table routing.Table) (codec.Raw, error) {
+func (e *tableTracker) encode(table routing.Table) (codec.Raw, error) {
 	e.encodeMu.Lock()
 	defer e.encodeMu.Unlock()
 	if e.encoded != nil && e.encodedVersion == table.Version {
--- a/node/touch_test.go
+++ b/node/touch_test.go
@@ -19,12 +19,12 @@
 		fault       memory.Fault
 		dropHistory bool // the store drops its history during the fault
 	}{
-		{"refuses calls", memory.Fault{Refuse: true}, false},
-		{"does not answer", memory.Fault{Silent: true}, false},
-		{"loses answers", memory.Fault{Mute: true}, false},
-		{"is slow", memory.Fault{Slow: 400 * time.Millisecond}, false},
-		{"refuses calls and drops its history", memory.Fault{Refuse: true}, true},
-		{"does not answer and drops its history", memory.Fault{Silent: true}, true},
+		{"refuses calls", memory.Fault{Reject: true}, false},
+		{"does not answer", memory.Fault{DropRequest: true}, false},
+		{"loses answers", memory.Fault{DropResponse: true}, false},
+		{"is slow", memory.Fault{Delay: 400 * time.Millisecond}, false},
+		{"refuses calls and drops its history", memory.Fault{Reject: true}, true},
+		{"does not answer and drops its history", memory.Fault{DropRequest: true}, true},
 	}
 	for _, test := range cases {
 		for _, duration := range []time.Duration{700 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
@@ -34,7 +34,7 @@
 					time.Sleep(duration / 2)
 					c.writeConfiguration("during the fault", 40)
 					if test.dropHistory {
-						c.store.ForgetHistory()
+						c.store.DiscardHistory()
 					}
 					time.Sleep(duration / 2)
 					c.setStoreFault(nil)
--- a/node/transfer_test.go
+++ b/node/transfer_test.go
@@ -23,7 +23,7 @@
 		}
 		links[m] = peertest.NewLink(rate)
 		c.network.SetLink(m.name, links[m])
-		m.storeCaller.SetLink(links[m].Carry)
+		m.storeCaller.SetDownlink(links[m].Carry)
 	}
 	return links
 }
@@ -84,7 +84,7 @@
 	runInCell(t, 3, func(c *cell) {
 		links := c.limitLinks(slowLinkRate)
 		for m := range links {
-			m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+			m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		}
 		time.Sleep(3 * time.Second) // until open feed calls have ended
 		c.writeConfiguration("x", 10_000)
@@ -103,9 +103,9 @@
 func TestShardLoadsOverSlowLink(t *testing.T) {
 	runInCell(t, 3, func(c *cell) {
 		const jobs, bytes = 2000, 4000
-		for first := 0; first < jobs; first += rowstore.MaxEntries {
+		for first := 0; first < jobs; first += rowstore.MaxTransactionEntries {
 			var puts []rowstore.Put
-			for i := first; i < first+rowstore.MaxEntries; i++ {
+			for i := first; i < first+rowstore.MaxTransactionEntries; i++ {
 				key := rowstore.Key{Table: "progress", Partition: "main", Name: fmt.Sprintf("job-%d", i)}
 				puts = append(puts, rowstore.Put{Key: key, Value: make([]byte, bytes)})
 			}
--- a/placement/choose.go
+++ b/placement/choose.go
@@ -8,15 +8,15 @@
 	"chutereach/resource"
 )
 
-// Ask describes the resources and constraints of a task to place.
-type Ask struct {
-	Need      resource.Amount
-	Tolerates []string          // taints that the task tolerates
-	Affinity  map[string]string // labels that the worker must have
-	Avoid     map[string]string // labels that the worker must not have
-	// Crowd returns the number of tasks of the same job on a worker and in its
+// Request describes the resources and constraints of a task to place.
+type Request struct {
+	Need         resource.Amount
+	Tolerations  []string          // taints that the task tolerates
+	Affinity     map[string]string // labels that the worker must have
+	AntiAffinity map[string]string // labels that the worker must not have
+	// SiblingCounts returns the number of tasks of the same job on a worker and in its
 	// rack. If it is nil, tasks of the job are not spread.
-	Crowd func(w provider.Worker) (onWorker, inRack int)
+	SiblingCounts func(w provider.Worker) (onWorker, inRack int)
 }
 
 // Scorer ranks workers that have room for a task.
@@ -28,25 +28,25 @@
 	Score(minShare, maxShare float64) float64
 }
 
-// Waiting spreads tasks across workers, so that each worker keeps room for later
+// Spread spreads tasks across workers, so that each worker keeps room for later
 // tasks.
-type Waiting struct{}
+type Spread struct{}
 
 // FullestFirst implements Scorer.
-func (Waiting) FullestFirst() bool { return false }
+func (Spread) FullestFirst() bool { return false }
 
 // Score prefers the worker whose scarcest resource has the largest free share.
-func (Waiting) Score(minShare, _ float64) float64 { return minShare }
+func (Spread) Score(minShare, _ float64) float64 { return minShare }
 
-// Packing fills workers one by one, so that others stay empty for large tasks.
-type Packing struct{}
+// BinPack fills workers one by one, so that others stay empty for large tasks.
+type BinPack struct{}
 
 // FullestFirst implements Scorer.
-func (Packing) FullestFirst() bool { return true }
+func (BinPack) FullestFirst() bool { return true }
 
 // Score prefers the worker whose largest free share is smallest, which limits the
 // capacity that is stranded when another resource is exhausted.
-func (Packing) Score(minShare, maxShare float64) float64 { return -minShare - (maxShare - minShare) }
+func (BinPack) Score(minShare, maxShare float64) float64 { return -minShare - (maxShare - minShare) }
 
 const (
 	// maxScored is the maximum number of eligible workers that Choose scores.
@@ -60,7 +60,7 @@
 // Choose returns the worker that s prefers for a task, or false if no eligible
 // worker has room. Workers with the fewest free accelerators that suffice take
 // precedence over the scorer, to keep accelerators for tasks that need them.
-func Choose[S Scorer](x *Index, s S, request Ask) (provider.Worker, bool) {
+func Choose[S Scorer](x *Index, s S, request Request) (provider.Worker, bool) {
 	for acc := min(request.Need.Accelerators, acceleratorLevels-1); acc < acceleratorLevels; acc++ {
 		c := search[S]{scorer: s, request: &request}
 		c.searchLevel(&x.levels[acc])
@@ -74,7 +74,7 @@
 // search is the state of one search within an accelerator level.
 type search[S Scorer] struct {
 	scorer    S
-	request   *Ask
+	request   *Request
 	scored    int
 	best      *entry
 	bestScore float64
@@ -123,8 +123,8 @@
 func (c *search[S]) compare(e *entry) {
 	c.scored++
 	score := c.scorer.Score(remainingShares(e.free.Minus(c.request.Need), e.worker.Capacity))
-	if c.request.Crowd != nil {
-		onWorker, inRack := c.request.Crowd(e.worker)
+	if c.request.SiblingCounts != nil {
+		onWorker, inRack := c.request.SiblingCounts(e.worker)
 		score -= float64(onWorker*siblingOnWorkerPenalty + inRack*siblingInRackPenalty)
 	}
 	if c.best == nil || score > c.bestScore {
@@ -145,9 +145,9 @@
 }
 
 // allows reports whether w satisfies the taint and label constraints.
-func (r *Ask) allows(w provider.Worker) bool {
+func (r *Request) allows(w provider.Worker) bool {
 	for _, t := range w.Taints {
-		if !slices.Contains(r.Tolerates, t) {
+		if !slices.Contains(r.Tolerations, t) {
 			return false
 		}
 	}
@@ -156,7 +156,7 @@
 			return false
 		}
 	}
-	for k, v := range r.Avoid {
+	for k, v := range r.AntiAffinity {
 		if w.Labels[k] == v {
 			return false
 		}
@@ -166,7 +166,7 @@
 
 // Scan is like Choose but examines every worker. It is the reference for tests
 // and the baseline for benchmarks.
-func Scan[S Scorer](x *Index, s S, request Ask) (provider.Worker, bool) {
+func Scan[S Scorer](x *Index, s S, request Request) (provider.Worker, bool) {
 	c := search[S]{scorer: s, request: &request}
 	for _, e := range x.byName {
 		if !e.closed && request.Need.Fits(e.free) && request.allows(e.worker) {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -50,8 +50,8 @@
 				x.Set(w, free[w.Name], false)
 			}
 		}
-		request := Ask{Need: amount(t, "need")}
-		for _, s := range []Scorer{Waiting{}, Packing{}} {
+		request := Request{Need: amount(t, "need")}
+		for _, s := range []Scorer{Spread{}, BinPack{}} {
 			w, found := Choose(x, s, request)
 			_, want := Scan(x, s, request)
 			if found != want {
@@ -76,16 +76,16 @@
 	small := resource.Amount{CPU: 1000, Memory: 1 << 30}
 	for _, c := range []struct {
 		name    string
-		request Ask
+		request Request
 		want    string
 	}{
-		{"accelerators reserved", Ask{Need: small}, untainted.Name},
-		{"tolerated taint", Ask{Need: small, Tolerates: []string{"maintenance"}}, tainted.Name},
-		{"accelerator required", Ask{Need: resource.Amount{CPU: 1000, Accelerators: 1}}, accelerated.Name},
-		{"affinity", Ask{Need: small, Affinity: map[string]string{"bench": "yes"}}, accelerated.Name},
-		{"anti-affinity", Ask{Need: resource.Amount{CPU: 9000}, Avoid: map[string]string{"bench": "yes"}}, ""},
-		{"need exceeds every worker", Ask{Need: resource.Amount{CPU: 17_000}}, ""},
-		{"siblings spread", Ask{Need: small, Tolerates: []string{"maintenance"}, Crowd: func(w provider.Worker) (int, int) {
+		{"accelerators reserved", Request{Need: small}, untainted.Name},
+		{"tolerated taint", Request{Need: small, Tolerations: []string{"maintenance"}}, tainted.Name},
+		{"accelerator required", Request{Need: resource.Amount{CPU: 1000, Accelerators: 1}}, accelerated.Name},
+		{"affinity", Request{Need: small, Affinity: map[string]string{"bench": "yes"}}, accelerated.Name},
+		{"anti-affinity", Request{Need: resource.Amount{CPU: 9000}, AntiAffinity: map[string]string{"bench": "yes"}}, ""},
+		{"need exceeds every worker", Request{Need: resource.Amount{CPU: 17_000}}, ""},
+		{"siblings spread", Request{Need: small, Tolerations: []string{"maintenance"}, SiblingCounts: func(w provider.Worker) (int, int) {
 			if w.Name == tainted.Name {
 				return 1, 1
 			}
@@ -93,7 +93,7 @@
 		}}, untainted.Name},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w, _ := Choose(x, Waiting{}, c.request)
+			w, _ := Choose(x, Spread{}, c.request)
 			if w.Name != c.want {
 				t.Errorf("chose %q, want %q", w.Name, c.want)
 			}
@@ -106,11 +106,11 @@
 	full, empty := worker(1, 16_000, 64<<30, 0), worker(2, 16_000, 64<<30, 0)
 	x.Set(full, resource.Amount{CPU: 2000, Memory: 8 << 30}, false)
 	x.Set(empty, empty.Capacity, false)
-	request := Ask{Need: resource.Amount{CPU: 1000, Memory: 4 << 30}}
-	if w, _ := Choose(x, Packing{}, request); w.Name != full.Name {
+	request := Request{Need: resource.Amount{CPU: 1000, Memory: 4 << 30}}
+	if w, _ := Choose(x, BinPack{}, request); w.Name != full.Name {
 		t.Errorf("packing scorer chose %s, want the fuller worker", w.Name)
 	}
-	if w, _ := Choose(x, Waiting{}, request); w.Name != empty.Name {
+	if w, _ := Choose(x, Spread{}, request); w.Name != empty.Name {
 		t.Errorf("spreading scorer chose %s, want the emptier worker", w.Name)
 	}
 }
@@ -143,7 +143,7 @@
 	{CPU: 2000, Memory: 4 << 30}, {CPU: 4000, Memory: 8 << 30, Accelerators: 1},
 }
 
-func benchmark[S Scorer](b *testing.B, n int, s S, choose func(*Index, S, Ask) (provider.Worker, bool)) {
+func benchmark[S Scorer](b *testing.B, n int, s S, choose func(*Index, S, Request) (provider.Worker, bool)) {
 	x, _, free := loadedIndex(n)
 	byName := map[string]provider.Worker{}
 	for name, e := range x.byName {
@@ -160,7 +160,7 @@
 	for b.Loop() {
 		need := taskShapes[rng.IntN(len(taskShapes))]
 		start := time.Now()
-		w, found := choose(x, s, Ask{Need: need})
+		w, found := choose(x, s, Request{Need: need})
 		if found {
 			free[w.Name] = free[w.Name].Minus(need)
 			x.Set(w, free[w.Name], false)
@@ -184,9 +184,9 @@
 // Scan as the baseline.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{100, 1000, 4100, 16000} {
-		b.Run(fmt.Sprintf("waiting/index/%d", n), func(b *testing.B) { benchmark(b, n, Waiting{}, Choose[Waiting]) })
-		b.Run(fmt.Sprintf("waiting/scan/%d", n), func(b *testing.B) { benchmark(b, n, Waiting{}, Scan[Waiting]) })
-		b.Run(fmt.Sprintf("packing/index/%d", n), func(b *testing.B) { benchmark(b, n, Packing{}, Choose[Packing]) })
-		b.Run(fmt.Sprintf("packing/scan/%d", n), func(b *testing.B) { benchmark(b, n, Packing{}, Scan[Packing]) })
+		b.Run(fmt.Sprintf("waiting/index/%d", n), func(b *testing.B) { benchmark(b, n, Spread{}, Choose[Spread]) })
+		b.Run(fmt.Sprintf("waiting/scan/%d", n), func(b *testing.B) { benchmark(b, n, Spread{}, Scan[Spread]) })
+		b.Run(fmt.Sprintf("packing/index/%d", n), func(b *testing.B) { benchmark(b, n, BinPack{}, Choose[BinPack]) })
+		b.Run(fmt.Sprintf("packing/scan/%d", n), func(b *testing.B) { benchmark(b, n, BinPack{}, Scan[BinPack]) })
 	}
 }
--- a/reliability/record.go
+++ b/reliability/record.go
@@ -29,7 +29,7 @@
 type Standing int
 
 const (
-	Sound       Standing = iota
+	Healthy     Standing = iota
 	Suspect              // may be failing: no critical work
 	Probing              // after quarantine: one task at a time, no critical work
 	Quarantined          // no work
@@ -45,18 +45,18 @@
 	lastFailedJob    string
 }
 
-// WithDone returns the record after a successful attempt, which ends a quarantine.
-func (r Record) WithDone() Record {
+// WithSuccess returns the record after a successful attempt, which ends a quarantine.
+func (r Record) WithSuccess() Record {
 	return Record{failureRate: r.failureRate * (1 - smoothing), lastFailedAt: r.lastFailedAt}
 }
 
-// WithFailed returns the record after a failed attempt. Consecutive failures of the same job count
+// WithFailure returns the record after a failed attempt. Consecutive failures of the same job count
 // once, since the job may be their cause.
-func (r Record) WithFailed(job string, now time.Time) Record {
+func (r Record) WithFailure(job string, now time.Time) Record {
 	if r.consecutive > 0 && r.lastFailedJob == job {
 		return r
 	}
-	r.failureRate = r.Share(now) + (1-r.Share(now))*smoothing
+	r.failureRate = r.FailureRate(now) + (1-r.FailureRate(now))*smoothing
 	r.lastFailedAt, r.lastFailedJob = now, job
 	if r.consecutive++; r.consecutive >= quarantineFailures {
 		r.quarantine = min(maxQuarantine, max(minQuarantine, 2*r.quarantine))
@@ -65,9 +65,9 @@
 	return r
 }
 
-// WithForgiven returns the record without the last failure, for a task that has failed on another
+// WithoutLastFailure returns the record without the last failure, for a task that has failed on another
 // worker too and is therefore the likely cause.
-func (r Record) WithForgiven() Record {
+func (r Record) WithoutLastFailure() Record {
 	if r.consecutive == 0 {
 		return r
 	}
@@ -79,8 +79,8 @@
 	return r
 }
 
-// Share returns the exponentially weighted failure rate.
-func (r Record) Share(now time.Time) float64 {
+// FailureRate returns the exponentially weighted failure rate.
+func (r Record) FailureRate(now time.Time) float64 {
 	if r.failureRate == 0 {
 		return 0
 	}
@@ -94,30 +94,30 @@
 		return Quarantined
 	case r.consecutive >= quarantineFailures:
 		return Probing
-	case r.consecutive > 0 && now.Sub(r.lastFailedAt) < suspectTime, r.Share(now) >= suspectRate:
+	case r.consecutive > 0 && now.Sub(r.lastFailedAt) < suspectTime, r.FailureRate(now) >= suspectRate:
 		return Suspect
 	}
-	return Sound
+	return Healthy
 }
 
-// Work describes a task to be placed on a worker.
-type Work struct {
-	// Precious is set for tasks on their last attempt and for members of gangs, whose failure
+// Task describes a task to be placed on a worker.
+type Task struct {
+	// Critical is set for tasks on their last attempt and for members of gangs, whose failure
 	// loses more than the attempt.
-	Precious bool
-	// Beside is the number of other tasks on the worker.
-	Beside int
+	Critical bool
+	// Colocated is the number of other tasks on the worker.
+	Colocated int
 }
 
-// Takes reports whether a worker of this standing accepts the work.
-func (s Standing) Takes(work Work) bool {
+// Accepts reports whether a worker of this standing accepts the work.
+func (s Standing) Accepts(work Task) bool {
 	switch s {
 	case Quarantined:
 		return false
 	case Probing:
-		return !work.Precious && work.Beside == 0
+		return !work.Critical && work.Colocated == 0
 	case Suspect:
-		return !work.Precious
+		return !work.Critical
 	}
 	return true
 }
--- a/reliability/record_test.go
+++ b/reliability/record_test.go
@@ -19,13 +19,13 @@
 	for i, event := range events {
 		switch event {
 		case 'd':
-			r = r.WithDone()
+			r = r.WithSuccess()
 		case 'f':
-			r = r.WithFailed(fmt.Sprint(i), now)
+			r = r.WithFailure(fmt.Sprint(i), now)
 		case 's':
-			r = r.WithFailed("same", now)
+			r = r.WithFailure("same", now)
 		case 'x':
-			r = r.WithForgiven()
+			r = r.WithoutLastFailure()
 		case '.':
 			now = now.Add(100 * time.Millisecond)
 		}
@@ -39,46 +39,46 @@
 		events string
 		want   reliability.Standing
 	}{
-		{"", reliability.Sound},
-		{"d", reliability.Sound},
+		{"", reliability.Healthy},
+		{"d", reliability.Healthy},
 		{"f", reliability.Suspect},
-		{"f" + second, reliability.Sound},
-		{"fd", reliability.Sound},
-		{"fx", reliability.Sound},
+		{"f" + second, reliability.Healthy},
+		{"fd", reliability.Healthy},
+		{"fx", reliability.Healthy},
 		{"ff", reliability.Quarantined},
 		{"ffx", reliability.Suspect},
 		{"ff" + second, reliability.Probing},
 		{"ff" + second + "f" + second, reliability.Quarantined},
 		{"ff" + second + "f" + second + second, reliability.Probing},
 		{"fff" + second + "d", reliability.Suspect},
-		{"ff" + second + second + second + "d", reliability.Sound},
+		{"ff" + second + second + second + "d", reliability.Healthy},
 		{"ss", reliability.Suspect},
-		{"sss" + second, reliability.Sound},
+		{"sss" + second, reliability.Healthy},
 		{"fdfdfd", reliability.Suspect},
 	}
 	for _, test := range cases {
 		t.Run(test.events, func(t *testing.T) {
 			r, now := replay(test.events)
 			if got := r.Standing(now); got != test.want {
-				t.Errorf("standing %d, want %d (failure rate %.2f)", got, test.want, r.Share(now))
+				t.Errorf("standing %d, want %d (failure rate %.2f)", got, test.want, r.FailureRate(now))
 			}
 		})
 	}
 }
 
 func TestAcceptedWork(t *testing.T) {
-	ordinary, critical, colocated := reliability.Work{}, reliability.Work{Precious: true}, reliability.Work{Beside: 1}
+	ordinary, critical, colocated := reliability.Task{}, reliability.Task{Critical: true}, reliability.Task{Colocated: 1}
 	cases := []struct {
 		standing                      reliability.Standing
 		ordinary, critical, colocated bool
 	}{
-		{reliability.Sound, true, true, true},
+		{reliability.Healthy, true, true, true},
 		{reliability.Suspect, true, false, true},
 		{reliability.Probing, true, false, false},
 		{reliability.Quarantined, false, false, false},
 	}
 	for _, test := range cases {
-		got := [3]bool{test.standing.Takes(ordinary), test.standing.Takes(critical), test.standing.Takes(colocated)}
+		got := [3]bool{test.standing.Accepts(ordinary), test.standing.Accepts(critical), test.standing.Accepts(colocated)}
 		if want := [3]bool{test.ordinary, test.critical, test.colocated}; got != want {
 			t.Errorf("standing %d accepts %v, want %v", test.standing, got, want)
 		}
@@ -94,7 +94,7 @@
 		if s := r.Standing(now.Add(4 * time.Second)); s == reliability.Quarantined {
 			t.Fatalf("4 s after %q: quarantined, want any other standing", events)
 		}
-		if s := r.WithDone().Standing(now.Add(20 * time.Second)); s != reliability.Sound {
+		if s := r.WithSuccess().Standing(now.Add(20 * time.Second)); s != reliability.Healthy {
 			t.Fatalf("20 s after %q and a success: standing %d, want sound", events, s)
 		}
 	})
@@ -106,8 +106,8 @@
 	var r reliability.Record
 	now, attempts := time.Unix(1000, 0), 0
 	for end := now.Add(7 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
-		if r.Standing(now).Takes(reliability.Work{}) {
-			r = r.WithFailed(fmt.Sprint(attempts), now)
+		if r.Standing(now).Accepts(reliability.Task{}) {
+			r = r.WithFailure(fmt.Sprint(attempts), now)
 			attempts++
 		}
 	}
--- a/routing/newest.go
+++ b/routing/newest.go
@@ -25,13 +25,13 @@
 
 // Offer stores a table if it is newer than the current one, and reports whether it did.
 func (n *Newest) Offer(table Table) bool {
-	if !n.Lacks(table.Version) {
+	if !n.OlderThan(table.Version) {
 		return false // avoid building the index
 	}
 	table = table.WithIndex()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.Lacks(table.Version) {
+	if !n.OlderThan(table.Version) {
 		return false
 	}
 	n.table.Store(&table)
@@ -41,8 +41,8 @@
 	return true
 }
 
-// Lacks reports whether a table of this version is newer than the current one.
-func (n *Newest) Lacks(version uint64) bool {
+// OlderThan reports whether a table of this version is newer than the current one.
+func (n *Newest) OlderThan(version uint64) bool {
 	table, known := n.Current()
 	return !known || version > table.Version
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -72,7 +72,7 @@
 		seen := make(chan uint64)
 		go func() {
 			current, _ := newest.Current()
-			newest.Lacks(changed.Version)
+			newest.OlderThan(changed.Version)
 			seen <- current.Version
 		}()
 		select {
--- a/rowstore/follow.go
+++ b/rowstore/follow.go
@@ -36,54 +36,54 @@
 	minReadStallTimeout = time.Second
 )
 
-// Reach holds the callbacks and options of Follow. All fields are optional.
-type Reach struct {
-	// Answered is called after each complete response has been processed.
-	Answered func()
-	// Failed is called after each failed call.
-	Failed func(*FollowError)
-	// Progressed is called whenever part of a response arrives.
-	Progressed func()
-	// Received is called with the size and duration of each complete response.
-	Received func(table string, response transfer.Received)
-	// Current is called after each response that leaves the rows up to date, with their
+// FollowOptions holds the callbacks and options of Follow. All fields are optional.
+type FollowOptions struct {
+	// OnResponse is called after each complete response has been processed.
+	OnResponse func()
+	// OnError is called after each failed call.
+	OnError func(*FollowError)
+	// OnProgress is called whenever part of a response arrives.
+	OnProgress func()
+	// OnReceived is called with the size and duration of each complete response.
+	OnReceived func(table string, response transfer.Received)
+	// OnSynced is called after each response that leaves the rows up to date, with their
 	// version. The rows reflect the state of the store at asOf or later.
-	Current func(version uint64, asOf clock.Instant)
-	// Wait returns the longest time that a Watch call waits for changes; 0 selects the
+	OnSynced func(version uint64, asOf clock.Instant)
+	// PollWait returns the longest time that a Watch call waits for changes; 0 selects the
 	// default of 2 s, which is also the maximum. While calls succeed, the copy is at most
 	// two such waits old.
-	Wait func() time.Duration
+	PollWait func() time.Duration
 }
 
 // pollWait returns the longest time that the next Watch call may wait for changes.
-func (o Reach) pollWait() time.Duration {
-	if o.Wait == nil {
+func (o FollowOptions) pollWait() time.Duration {
+	if o.PollWait == nil {
 		return maxPollWait
 	}
-	if wait := o.Wait(); wait > 0 {
+	if wait := o.PollWait(); wait > 0 {
 		return min(wait, maxPollWait)
 	}
 	return maxPollWait
 }
 
-func (o Reach) notifySynced(version uint64, asOf clock.Instant) {
-	if o.Current != nil {
-		o.Current(version, asOf)
+func (o FollowOptions) notifySynced(version uint64, asOf clock.Instant) {
+	if o.OnSynced != nil {
+		o.OnSynced(version, asOf)
 	}
 }
 
-func (o Reach) notifyFailed(err *FollowError) {
-	if o.Failed != nil {
-		o.Failed(err)
+func (o FollowOptions) notifyFailed(err *FollowError) {
+	if o.OnError != nil {
+		o.OnError(err)
 	}
 }
 
-func (o Reach) notifyResponse(table string, response transfer.Received) {
-	if o.Answered != nil {
-		o.Answered()
+func (o FollowOptions) notifyResponse(table string, response transfer.Received) {
+	if o.OnResponse != nil {
+		o.OnResponse()
 	}
-	if o.Received != nil {
-		o.Received(table, response)
+	if o.OnReceived != nil {
+		o.OnReceived(table, response)
 	}
 }
 
@@ -98,14 +98,14 @@
 
 // FollowError reports a failed call of Follow. Follow retries it.
 type FollowError struct {
-	Table    string
-	Exchange RequestKind
-	Took     time.Duration
-	Cause    error
+	Table   string
+	Request RequestKind
+	Took    time.Duration
+	Cause   error
 }
 
 func (e *FollowError) Error() string {
-	return fmt.Sprintf("%s request for table %s failed after %v: %v", e.Exchange, e.Table, e.Took.Round(time.Millisecond), e.Cause)
+	return fmt.Sprintf("%s request for table %s failed after %v: %v", e.Request, e.Table, e.Took.Round(time.Millisecond), e.Cause)
 }
 
 func (e *FollowError) Unwrap() error { return e.Cause }
@@ -113,9 +113,9 @@
 // Follow keeps a copy of one partition of a table in memory until ctx is done. It calls
 // changed with all rows after the first read and after each response with changes. Later
 // updates modify the same map, so changed must not retain it. Failed calls are retried.
-func Follow(ctx context.Context, store Store, table, partition string, changed func(map[string]Row), options Reach) {
+func Follow(ctx context.Context, store Store, table, partition string, changed func(map[string]Row), options FollowOptions) {
 	f := follower{
-		store: store, table: table, partition: partition, pollWait: options.pollWait(), readStallTimeout: minReadStallTimeout, onProgress: options.Progressed,
+		store: store, table: table, partition: partition, pollWait: options.pollWait(), readStallTimeout: minReadStallTimeout, onProgress: options.OnProgress,
 	}
 	retryDelay := minRetryDelay
 	for ctx.Err() == nil {
--- a/rowstore/follow_test.go
+++ b/rowstore/follow_test.go
@@ -56,17 +56,17 @@
 }
 
 // runFollow calls setup, then test while Follow keeps a tableView of the table up to date.
-func runFollow(t *testing.T, setup func(*memory.Store, *memory.Caller), test func(*testing.T, *memory.Store, *memory.Caller, *tableView)) {
+func runFollow(t *testing.T, setup func(*memory.Store, *memory.Client), test func(*testing.T, *memory.Store, *memory.Client, *tableView)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		caller := store.Caller()
+		caller := store.NewClient()
 		setup(store, caller)
 		ctx, cancel := context.WithCancel(t.Context())
 		var v tableView
 		done := make(chan struct{})
 		go func() {
-			rowstore.Follow(ctx, caller, table, "", v.update, rowstore.Reach{})
+			rowstore.Follow(ctx, caller, table, "", v.update, rowstore.FollowOptions{})
 			close(done)
 		}()
 		test(t, store, caller, &v)
@@ -79,10 +79,10 @@
 // holds for snapshots and for changes.
 func TestFollowReadsLongResponses(t *testing.T) {
 	const rate, bytes = 100_000, 1_000_000 // 10 s per transfer
-	runFollow(t, func(store *memory.Store, caller *memory.Caller) {
+	runFollow(t, func(store *memory.Store, caller *memory.Client) {
 		write(t, store, "a", "1", bytes)
-		caller.SetLink(peertest.NewLink(rate).Carry)
-	}, func(t *testing.T, store *memory.Store, _ *memory.Caller, v *tableView) {
+		caller.SetDownlink(peertest.NewLink(rate).Carry)
+	}, func(t *testing.T, store *memory.Store, _ *memory.Client, v *tableView) {
 		v.assertWithin(t, "a", "1", 11*time.Second)
 		write(t, store, "a", "2", bytes)
 		v.assertWithin(t, "a", "2", 11*time.Second)
@@ -91,10 +91,10 @@
 
 // The stall timeout of reads must grow until a slow store can answer within it.
 func TestFollowRetriesSlowStore(t *testing.T) {
-	runFollow(t, func(store *memory.Store, caller *memory.Caller) {
+	runFollow(t, func(store *memory.Store, caller *memory.Client) {
 		write(t, store, "a", "1", 1)
-		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 1800 * time.Millisecond} })
-	}, func(t *testing.T, _ *memory.Store, _ *memory.Caller, v *tableView) {
+		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 1800 * time.Millisecond} })
+	}, func(t *testing.T, _ *memory.Store, _ *memory.Client, v *tableView) {
 		v.assertWithin(t, "a", "1", 6*time.Second)
 	})
 }
@@ -104,14 +104,14 @@
 func TestFollowAdaptsToSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		caller := store.Caller()
-		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 800 * time.Millisecond} })
+		caller := store.NewClient()
+		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 800 * time.Millisecond} })
 		ctx, cancel := context.WithCancel(t.Context())
 		var v tableView
 		failed := 0
 		done := make(chan struct{})
 		go func() {
-			rowstore.Follow(ctx, caller, table, "", v.update, rowstore.Reach{Failed: func(*rowstore.FollowError) { failed++ }})
+			rowstore.Follow(ctx, caller, table, "", v.update, rowstore.FollowOptions{OnError: func(*rowstore.FollowError) { failed++ }})
 			close(done)
 		}()
 		time.Sleep(20 * time.Second)
@@ -133,8 +133,8 @@
 func TestFollowRetriesStalledResponse(t *testing.T) {
 	link := peertest.NewLink(1_000_000)
 	stopped := false
-	runFollow(t, func(_ *memory.Store, caller *memory.Caller) {
-		caller.SetLink(func(ctx context.Context, bytes int) error {
+	runFollow(t, func(_ *memory.Store, caller *memory.Client) {
+		caller.SetDownlink(func(ctx context.Context, bytes int) error {
 			if err := link.Carry(ctx, bytes); err != nil || stopped || link.Carried() < 100_000 {
 				return err
 			}
@@ -142,7 +142,7 @@
 			<-ctx.Done()
 			return ctx.Err()
 		})
-	}, func(t *testing.T, store *memory.Store, _ *memory.Caller, v *tableView) {
+	}, func(t *testing.T, store *memory.Store, _ *memory.Client, v *tableView) {
 		write(t, store, "a", "1", 500_000)
 		v.assertWithin(t, "a", "1", 4*time.Second)
 		if !stopped {
@@ -158,7 +158,7 @@
 func (s oversizedFeed) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (rowstore.Page, error) {
 	page, err := s.Store.Watch(ctx, table, after, wait)
 	if err == nil && len(page.Rows) > 0 {
-		return rowstore.Page{}, &rowstore.UnknownError{Cause: &transfer.TooLargeError{Limit: 1}}
+		return rowstore.Page{}, &rowstore.UnknownOutcomeError{Cause: &transfer.TooLargeError{Limit: 1}}
 	}
 	return page, err
 }
@@ -171,10 +171,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var v tableView
 		var failures []error
-		options := rowstore.Reach{Failed: func(err *rowstore.FollowError) { failures = append(failures, err) }}
+		options := rowstore.FollowOptions{OnError: func(err *rowstore.FollowError) { failures = append(failures, err) }}
 		done := make(chan struct{})
 		go func() {
-			rowstore.Follow(ctx, oversizedFeed{store.Caller()}, table, "", v.update, options)
+			rowstore.Follow(ctx, oversizedFeed{store.NewClient()}, table, "", v.update, options)
 			close(done)
 		}()
 		time.Sleep(time.Second)
@@ -202,7 +202,7 @@
 			rowstore.Follow(ctx, store, table, "", func(rows map[string]rowstore.Row) {
 				updates++
 				v.update(rows)
-			}, rowstore.Reach{})
+			}, rowstore.FollowOptions{})
 			close(done)
 		}()
 		for range 1000 {
@@ -231,12 +231,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		store := memory.New()
-		caller := store.Caller()
-		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		caller := store.NewClient()
+		caller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		read := make(chan struct{}, 1)
-		go rowstore.Follow(ctx, caller, table, "", func(map[string]rowstore.Row) { read <- struct{}{} }, rowstore.Reach{})
+		go rowstore.Follow(ctx, caller, table, "", func(map[string]rowstore.Row) { read <- struct{}{} }, rowstore.FollowOptions{})
 		time.Sleep(outage)
-		if calls := caller.Calls(); calls > maxCalls {
+		if calls := caller.CallCount(); calls > maxCalls {
 			t.Errorf("got %d calls in %v, want at most %d", calls, outage, maxCalls)
 		}
 		caller.SetFault(nil)
--- a/rowstore/memory/memory.go
+++ b/rowstore/memory/memory.go
@@ -47,9 +47,9 @@
 	return row, ok
 }
 
-// ForgetHistory discards all changes, so that Watch from an earlier version fails with
+// DiscardHistory discards all changes, so that Watch from an earlier version fails with
 // HistoryLostError.
-func (s *Store) ForgetHistory() {
+func (s *Store) DiscardHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.discardedUpTo, s.history = s.version, nil
@@ -80,8 +80,8 @@
 }
 
 func (s *Store) check(transaction rowstore.Transaction) error {
-	if n := len(transaction.Conditions) + len(transaction.Puts) + len(transaction.Deletes); n > rowstore.MaxEntries {
-		return &rowstore.UnavailableError{Cause: fmt.Errorf("transaction has %d entries, want at most %d", n, rowstore.MaxEntries)}
+	if n := len(transaction.Conditions) + len(transaction.Puts) + len(transaction.Deletes); n > rowstore.MaxTransactionEntries {
+		return &rowstore.UnavailableError{Cause: fmt.Errorf("transaction has %d entries, want at most %d", n, rowstore.MaxTransactionEntries)}
 	}
 	met := true
 	var rows []rowstore.Row
@@ -133,8 +133,8 @@
 		}
 	}
 	sort.Slice(page.Rows, func(i, k int) bool { return page.Rows[i].Name < page.Rows[k].Name })
-	if limit <= 0 || limit > rowstore.MaxPage {
-		limit = rowstore.MaxPage
+	if limit <= 0 || limit > rowstore.MaxPageRows {
+		limit = rowstore.MaxPageRows
 	}
 	if len(page.Rows) > limit {
 		page.Rows, page.More = page.Rows[:limit], true
@@ -156,7 +156,7 @@
 		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
-			return rowstore.Page{}, &rowstore.UnknownError{Cause: ctx.Err()}
+			return rowstore.Page{}, &rowstore.UnknownOutcomeError{Cause: ctx.Err()}
 		}
 	}
 }
@@ -178,20 +178,20 @@
 
 // Fault describes how a call fails or is delayed. The zero Fault has no effect.
 type Fault struct {
-	Slow   time.Duration // delay before the call is processed
-	Return time.Duration // delay of the response to a Commit, after it is applied
-	Refuse bool          // the call fails with UnavailableError and has no effect
-	Silent bool          // the call has no effect and no response
-	Mute   bool          // a Commit is applied but has no response
-	Late   time.Duration // a Commit is applied after this delay and has no response
+	Delay         time.Duration // delay before the call is processed
+	ResponseDelay time.Duration // delay of the response to a Commit, after it is applied
+	Reject        bool          // the call fails with UnavailableError and has no effect
+	DropRequest   bool          // the call has no effect and no response
+	DropResponse  bool          // a Commit is applied but has no response
+	ApplyDelay    time.Duration // a Commit is applied after this delay and has no response
 }
 
 // latency is the duration of a call without faults.
 const latency = 5 * time.Millisecond
 
-// Caller is one client's access to a Store, with its own faults and links. They can be
+// Client is one client's access to a Store, with its own faults and links. They can be
 // changed at any time.
-type Caller struct {
+type Client struct {
 	store    *Store
 	mu       sync.Mutex
 	fault    func(write bool) Fault
@@ -208,26 +208,26 @@
 // chunkSize is the number of bytes that are transmitted at once.
 const chunkSize = 4 << 10
 
-// Caller returns a new Caller for the store, without faults or links.
-func (s *Store) Caller() *Caller { return &Caller{store: s} }
+// NewClient returns a new NewClient for the store, without faults or links.
+func (s *Store) NewClient() *Client { return &Client{store: s} }
 
 // SetFault sets the function that returns the fault of each call; write is true for
 // Commit. A nil function removes all faults.
-func (c *Caller) SetFault(f func(write bool) Fault) {
+func (c *Client) SetFault(f func(write bool) Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
 }
 
-// SetLink sets the link that transmits the rows of responses.
-func (c *Caller) SetLink(link LinkFunc) {
+// SetDownlink sets the link that transmits the rows of responses.
+func (c *Client) SetDownlink(link LinkFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.downlink = link
 }
 
 // SetUplink sets the link that transmits the rows of transactions.
-func (c *Caller) SetUplink(link LinkFunc) {
+func (c *Client) SetUplink(link LinkFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.uplink = link
@@ -245,22 +245,22 @@
 	return nil
 }
 
-// Calls returns the number of calls that were made.
-func (c *Caller) Calls() int {
+// CallCount returns the number of calls that were made.
+func (c *Client) CallCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
 // Observe calls f with each further page that is sent to this client.
-func (c *Caller) Observe(f func(rowstore.Page)) {
+func (c *Client) Observe(f func(rowstore.Page)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.observe = f
 }
 
 // receive simulates the transfer of a response.
-func (c *Caller) receive(ctx context.Context, page rowstore.Page) (rowstore.Page, error) {
+func (c *Client) receive(ctx context.Context, page rowstore.Page) (rowstore.Page, error) {
 	c.mu.Lock()
 	link, observe := c.downlink, c.observe
 	c.mu.Unlock()
@@ -272,14 +272,14 @@
 		size += len(row.Value)
 	}
 	if err := link.transmit(ctx, size); err != nil {
-		return rowstore.Page{}, &rowstore.UnknownError{Cause: err}
+		return rowstore.Page{}, &rowstore.UnknownOutcomeError{Cause: err}
 	}
 	page.Received = transfer.Received{Bytes: size, Took: time.Since(start)}
 	return page, nil
 }
 
 // send simulates the transfer of a transaction.
-func (c *Caller) send(ctx context.Context, transaction rowstore.Transaction) error {
+func (c *Client) send(ctx context.Context, transaction rowstore.Transaction) error {
 	c.mu.Lock()
 	link := c.uplink
 	c.mu.Unlock()
@@ -288,12 +288,12 @@
 		size += len(put.Value)
 	}
 	if err := link.transmit(ctx, size); err != nil {
-		return &rowstore.UnknownError{Cause: err}
+		return &rowstore.UnknownOutcomeError{Cause: err}
 	}
 	return nil
 }
 
-func (c *Caller) nextFault(write bool) Fault {
+func (c *Client) nextFault(write bool) Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -305,22 +305,22 @@
 
 // applyFault waits for the latency and delay of a call, and returns an error if the fault
 // keeps it from the store.
-func (c *Caller) applyFault(ctx context.Context, fault Fault) error {
-	if wait.For(ctx, latency+fault.Slow) != nil {
-		return &rowstore.UnknownError{Cause: ctx.Err()}
+func (c *Client) applyFault(ctx context.Context, fault Fault) error {
+	if wait.For(ctx, latency+fault.Delay) != nil {
+		return &rowstore.UnknownOutcomeError{Cause: ctx.Err()}
 	}
 	switch {
-	case fault.Refuse:
+	case fault.Reject:
 		return &rowstore.UnavailableError{Cause: errors.New("rejected by an injected fault")}
-	case fault.Silent:
+	case fault.DropRequest:
 		<-ctx.Done()
-		return &rowstore.UnknownError{Cause: ctx.Err()}
+		return &rowstore.UnknownOutcomeError{Cause: ctx.Err()}
 	}
 	return nil
 }
 
 // Commit implements rowstore.Store.
-func (c *Caller) Commit(ctx context.Context, transaction rowstore.Transaction) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, transaction rowstore.Transaction) (uint64, error) {
 	fault := c.nextFault(true)
 	if err := c.send(ctx, transaction); err != nil {
 		return 0, err
@@ -328,27 +328,27 @@
 	if err := c.applyFault(ctx, fault); err != nil {
 		return 0, err
 	}
-	if fault.Late > 0 {
+	if fault.ApplyDelay > 0 {
 		go func() {
-			time.Sleep(fault.Late)
+			time.Sleep(fault.ApplyDelay)
 			c.store.Commit(context.Background(), transaction)
 		}()
 		<-ctx.Done()
-		return 0, &rowstore.UnknownError{Cause: ctx.Err()}
+		return 0, &rowstore.UnknownOutcomeError{Cause: ctx.Err()}
 	}
 	version, err := c.store.Commit(ctx, transaction)
-	if wait.For(ctx, fault.Return) != nil {
-		return 0, &rowstore.UnknownError{Cause: ctx.Err()}
+	if wait.For(ctx, fault.ResponseDelay) != nil {
+		return 0, &rowstore.UnknownOutcomeError{Cause: ctx.Err()}
 	}
-	if fault.Mute {
+	if fault.DropResponse {
 		<-ctx.Done()
-		return 0, &rowstore.UnknownError{Cause: ctx.Err()}
+		return 0, &rowstore.UnknownOutcomeError{Cause: ctx.Err()}
 	}
 	return version, err
 }
 
 // Read implements rowstore.Store.
-func (c *Caller) Read(ctx context.Context, table, partition, from string, limit int) (rowstore.Page, error) {
+func (c *Client) Read(ctx context.Context, table, partition, from string, limit int) (rowstore.Page, error) {
 	if err := c.applyFault(ctx, c.nextFault(false)); err != nil {
 		return rowstore.Page{}, err
 	}
@@ -360,7 +360,7 @@
 }
 
 // Watch implements rowstore.Store.
-func (c *Caller) Watch(ctx context.Context, table string, after uint64, limit time.Duration) (rowstore.Page, error) {
+func (c *Client) Watch(ctx context.Context, table string, after uint64, limit time.Duration) (rowstore.Page, error) {
 	if err := c.applyFault(ctx, c.nextFault(false)); err != nil {
 		return rowstore.Page{}, err
 	}
--- a/rowstore/rowstore.go
+++ b/rowstore/rowstore.go
@@ -47,12 +47,12 @@
 	Deletes    []Key
 }
 
-// MaxEntries is the maximum number of conditions, puts and deletes of a Transaction
+// MaxTransactionEntries is the maximum number of conditions, puts and deletes of a Transaction
 // together.
-const MaxEntries = 100
+const MaxTransactionEntries = 100
 
-// MaxPage is the maximum number of rows that Read returns.
-const MaxPage = 500
+// MaxPageRows is the maximum number of rows that Read returns.
+const MaxPageRows = 500
 
 // Page is the response to Read or Watch.
 type Page struct {
@@ -127,15 +127,15 @@
 
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UnknownError reports that a call had no response. Its transaction may have been applied,
+// UnknownOutcomeError reports that a call had no response. Its transaction may have been applied,
 // or may still be applied later if its conditions hold then.
-type UnknownError struct{ Cause error }
+type UnknownOutcomeError struct{ Cause error }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("no response from the store: %v", e.Cause)
 }
 
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // HistoryLostError reports that the store no longer has the changes after a version. The
 // caller must read all rows again.
--- a/scheduler/account.go
+++ b/scheduler/account.go
@@ -43,7 +43,7 @@
 
 // maxStarts returns how many more of the step's tasks the account may start, up to limit.
 func (a *accountState) maxStarts(st *step, limit int) int {
-	return a.terms.Quota.Fitting(a.used, st.spec.Need, limit)
+	return a.terms.Quota.AdditionalTasks(a.used, st.spec.Need, limit)
 }
 
 // accountOf returns the state of the account that a job was accepted under. Terms of the current
@@ -51,7 +51,7 @@
 func (s *Scheduler) accountOf(terms account.Terms) *accountState {
 	a := s.accounts[terms.Name]
 	if a == nil {
-		if newer, known := s.directory.Named(terms.Name); known {
+		if newer, known := s.directory.ByName(terms.Name); known {
 			terms = newer
 		}
 		a = newAccountState(terms)
@@ -66,7 +66,7 @@
 	defer s.mu.Unlock()
 	s.directory = directory
 	for name, a := range s.accounts {
-		terms, known := directory.Named(name)
+		terms, known := directory.ByName(name)
 		if !known || terms == a.terms {
 			continue
 		}
@@ -155,7 +155,7 @@
 		if step.Gang {
 			concurrent = step.Count
 		}
-		if terms.Quota.Fitting(resource.Amount{}, step.Need, concurrent) < concurrent {
+		if terms.Quota.AdditionalTasks(resource.Amount{}, step.Need, concurrent) < concurrent {
 			return &QuotaError{fmt.Sprintf("step %d needs %v at once, and account %s may have %v",
 				i, step.Need.Times(int64(concurrent)), terms.Name, resource.Amount(terms.Quota))}
 		}
--- a/scheduler/accounts_test.go
+++ b/scheduler/accounts_test.go
@@ -67,10 +67,10 @@
 // submit submits a job for an account.
 func (a *accountCell) submit(name, id string, queue workload.Queue, request workload.Request, work time.Duration) error {
 	a.fleet.Know(id, fleettest.Kind{
-		Request: request, Attempts: queue.Attempts, Advised: queue.Advice.Needed(), Account: name,
+		Request: request, Attempts: queue.MaxFailures, Advised: queue.Advice.Enabled(), Account: name,
 		Plan: func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: work} },
 	})
-	record := workload.Record{Request: request, Queue: queue, Accepted: time.Now().UnixMilli(), Account: a.terms[name]}
+	record := workload.Record{Request: request, Queue: queue, AcceptedAt: time.Now().UnixMilli(), Account: a.terms[name]}
 	return a.currentOwner().Submit(a.ctx, id, record)
 }
 
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -43,7 +43,7 @@
 
 // eachEligibleWorker calls f for each worker that the step may run on now, regardless of free capacity.
 func (st *step) eachEligibleWorker(p *pass, f func(*worker)) {
-	if !st.job.record.Queue.Advice.Needed() {
+	if !st.job.record.Queue.Advice.Enabled() {
 		for _, w := range p.pools[st.job.record.Queue.Service] {
 			f(w)
 		}
@@ -59,10 +59,10 @@
 
 // workersPerCall returns the maximum number of workers in one call under the policy.
 func workersPerCall(policy workload.AdvicePolicy) int {
-	if policy.Each <= 0 {
+	if policy.PerWorkerLatency <= 0 {
 		return maxWorkersPerCall
 	}
-	count := int(maxCallCostFactor * float64(policy.Decision) / float64(policy.Each))
+	count := int(maxCallCostFactor * float64(policy.CallLatency) / float64(policy.PerWorkerLatency))
 	return max(minWorkersPerCall, min(count, maxWorkersPerCall))
 }
 
@@ -82,7 +82,7 @@
 func (s *Scheduler) requestAdvice(p *pass, c candidate, recheckDelay time.Duration) {
 	st := c.step
 	a, policy := &st.advice, st.job.record.Queue.Advice
-	if !policy.Needed() || a.callsInFlight > 0 || p.now.Before(a.nextCheck) || s.chooseAdviceNode(policy.Cost(1), p.now) == nil {
+	if !policy.Enabled() || a.callsInFlight > 0 || p.now.Before(a.nextCheck) || s.chooseAdviceNode(policy.Latency(1), p.now) == nil {
 		return
 	}
 	if c.tasks = c.placeableTasks(); len(c.tasks) == 0 {
@@ -103,7 +103,7 @@
 // startAdviceCall asks about the workers for a step in the background. It returns false if no
 // node can take the call.
 func (s *Scheduler) startAdviceCall(st *step, named []*worker, now time.Time) bool {
-	cost := st.job.record.Queue.Advice.Cost(len(named))
+	cost := st.job.record.Queue.Advice.Latency(len(named))
 	l := s.chooseAdviceNode(cost, now)
 	if l == nil {
 		return false
@@ -129,7 +129,7 @@
 // for every waiting step is expensive (see BenchmarkOwner).
 func (s *Scheduler) surveyCapacity(p *pass, c candidate) capacitySurvey {
 	st := c.step
-	validUntil := p.now.Add(st.job.record.Queue.Advice.Cost(minWorkersPerCall) + ticketMargin)
+	validUntil := p.now.Add(st.job.record.Queue.Advice.Latency(minWorkersPerCall) + ticketMargin)
 	if !st.spec.Gang {
 		validUntil = p.now.Add(expectedStartDelay)
 	}
@@ -157,7 +157,7 @@
 // is urgent enough to preempt others, after preemption.
 func (p *pass) obtainableSlots(c candidate, w *worker) int {
 	slots := p.slots(c, w)
-	if slots < len(c.tasks) && c.urgency.Pressed {
+	if slots < len(c.tasks) && c.urgency.MayPreempt {
 		slots = p.slotsWithPreemption(c, w)
 	}
 	return slots
@@ -186,7 +186,7 @@
 			break
 		}
 		if w.free().CPU < need {
-			if withoutCPU++; withoutCPU > maxPreemptionScan || !c.urgency.Pressed {
+			if withoutCPU++; withoutCPU > maxPreemptionScan || !c.urgency.MayPreempt {
 				break // the pool is sorted: the remaining workers have no more free CPU
 			}
 		}
@@ -236,7 +236,7 @@
 func (p *pass) fillCall(st *step, named []*worker) []*worker {
 	policy := st.job.record.Queue.Advice
 	limit := workersPerCall(policy)
-	if policy.Decision <= maxCheapCost || len(named) >= limit {
+	if policy.CallLatency <= maxCheapCost || len(named) >= limit {
 		return named
 	}
 	chosen := make(map[*worker]bool, limit)
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -33,11 +33,11 @@
 		p.add(w)
 	}
 	p.sortPools()
-	queue := workload.Queue{Name: "q", Service: "s", Attempts: 3, Advice: workload.AdvicePolicy{Decision: time.Millisecond, Valid: time.Second}}
+	queue := workload.Queue{Name: "q", Service: "s", MaxFailures: 3, Advice: workload.AdvicePolicy{CallLatency: time.Millisecond, TicketTTL: time.Second}}
 	steps := []workload.Step{{Count: 3, Need: resource.Amount{CPU: 2500}, Estimate: time.Second}}
-	j := newJob("00000000000000a0", workload.Record{Request: workload.Request{Steps: steps}, Queue: queue, Accepted: now.UnixMilli()}, newAccountState(account.Terms{}), now)
+	j := newJob("00000000000000a0", workload.Record{Request: workload.Request{Steps: steps}, Queue: queue, AcceptedAt: now.UnixMilli()}, newAccountState(account.Terms{}), now)
 	st := j.rounds[0].steps[0]
-	return s, p, candidate{step: st, tasks: st.placeableTasks(), quotaAllowance: math.MaxInt, urgency: urgency.Verdict{Rank: urgency.InTime, Pressed: true}, deadline: j.deadline}
+	return s, p, candidate{step: st, tasks: st.placeableTasks(), quotaAllowance: math.MaxInt, urgency: urgency.Assessment{Rank: urgency.InTime, MayPreempt: true}, deadline: j.deadline}
 }
 
 func assertQueried(t *testing.T, workers []*worker, least, most int, fits func(*worker) bool) {
@@ -101,8 +101,8 @@
 		policy         workload.AdvicePolicy
 		least, expired int // minimum of queried workers, and those with an expired ticket
 	}{
-		{"expensive", workload.AdvicePolicy{Decision: 169 * time.Millisecond, Each: 2340 * time.Microsecond, Valid: 2 * time.Second}, 80, 20},
-		{"cheap", workload.AdvicePolicy{Decision: 9 * time.Millisecond, Each: 130 * time.Microsecond, Valid: 2 * time.Second}, 1, 1},
+		{"expensive", workload.AdvicePolicy{CallLatency: 169 * time.Millisecond, PerWorkerLatency: 2340 * time.Microsecond, TicketTTL: 2 * time.Second}, 80, 20},
+		{"cheap", workload.AdvicePolicy{CallLatency: 9 * time.Millisecond, PerWorkerLatency: 130 * time.Microsecond, TicketTTL: 2 * time.Second}, 1, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 		for i := len(st.tasks); i < st.spec.Count; i++ {
 			st.tasks = append(st.tasks, &task{step: st, index: i})
 		}
-		st.job.record.Queue.Advice = workload.AdvicePolicy{Decision: 390 * time.Millisecond, Each: 5600 * time.Microsecond, Valid: 2 * time.Second}
+		st.job.record.Queue.Advice = workload.AdvicePolicy{CallLatency: 390 * time.Millisecond, PerWorkerLatency: 5600 * time.Microsecond, TicketTTL: 2 * time.Second}
 		s.mu.Lock()
 		s.requestAdvice(p, c, urgentRecheckInterval)
 		s.mu.Unlock()
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -53,11 +53,11 @@
 func newTestScheduler(tb testing.TB) *Scheduler {
 	tb.Helper()
 	store := memory.New()
-	sighting, err := leadership.Look(tb.Context(), store, "main")
+	sighting, err := leadership.ReadOwner(tb.Context(), store, "main")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	term, err := leadership.Take(tb.Context(), store, "main", "n", "a", sighting)
+	term, err := leadership.Acquire(tb.Context(), store, "main", "n", "a", sighting)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -81,10 +81,10 @@
 			advice.Tickets[w.info.ID] = "ticket"
 		}
 	}
-	queue := workload.Queue{Name: "q", Service: "s", Attempts: 3, Advice: workload.AdvicePolicy{Decision: time.Millisecond, Valid: time.Hour}}
+	queue := workload.Queue{Name: "q", Service: "s", MaxFailures: 3, Advice: workload.AdvicePolicy{CallLatency: time.Millisecond, TicketTTL: time.Hour}}
 	for i := range jobs {
 		steps := []workload.Step{{Count: 3, Need: resource.Amount{CPU: 2500}, Estimate: time.Second}}
-		j := newJob(fmt.Sprintf("%016x", i), workload.Record{Request: workload.Request{Steps: steps}, Queue: queue, Accepted: now.UnixMilli()}, newAccountState(account.Terms{}), now)
+		j := newJob(fmt.Sprintf("%016x", i), workload.Record{Request: workload.Request{Steps: steps}, Queue: queue, AcceptedAt: now.UnixMilli()}, newAccountState(account.Terms{}), now)
 		j.rounds[0].steps[0].advice.recordAnswer(workers, advice, now)
 		s.jobs[j.id], s.active[j.id] = j, j
 	}
--- a/scheduler/bundle_test.go
+++ b/scheduler/bundle_test.go
@@ -31,7 +31,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			withCell(t, 40, func(c *cell) {
 				o := c.startOwner()
-				slow := func(bool) memory.Fault { return memory.Fault{Slow: 400 * time.Millisecond} }
+				slow := func(bool) memory.Fault { return memory.Fault{Delay: 400 * time.Millisecond} }
 				o.caller.SetFault(slow)
 				accepted := make(chan string, jobs)
 				for i := range jobs {
@@ -78,7 +78,7 @@
 	const jobs = 300
 	withCell(t, 60, func(c *cell) {
 		o := c.startOwner()
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 400 * time.Millisecond} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 400 * time.Millisecond} })
 		submit := func(id string) {
 			go c.submit(o, id, newRequest(2, 1000), succeedAfter(300*time.Millisecond))
 		}
@@ -89,7 +89,7 @@
 		if c.bundleCount() == 0 {
 			t.Fatal("no bundles in the store, want at least one")
 		}
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 25 * time.Millisecond} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 25 * time.Millisecond} })
 		for i := range 1000 { // new changes arrive during each transaction
 			submit(fmt.Sprintf("later-%04d", i))
 			time.Sleep(5 * time.Millisecond)
--- a/scheduler/burst_test.go
+++ b/scheduler/burst_test.go
@@ -53,9 +53,9 @@
 
 // Queues of the load, by decreasing urgency.
 var (
-	lookups    = workload.Queue{Name: "lookups", Service: testService, Priority: 0, Attempts: 4, Stretch: 1.5, Target: 250 * time.Millisecond}
-	gangs      = workload.Queue{Name: "gangs", Service: testService, Priority: 1, Attempts: 2, Stretch: 2.2, Target: time.Second}
-	statements = workload.Queue{Name: "statements", Service: testService, Priority: 2, Attempts: 2, Stretch: 4, Target: 3 * time.Second}
+	lookups    = workload.Queue{Name: "lookups", Service: testService, Priority: 0, MaxFailures: 4, ObjectiveFactor: 1.5, ObjectiveOffset: 250 * time.Millisecond}
+	gangs      = workload.Queue{Name: "gangs", Service: testService, Priority: 1, MaxFailures: 2, ObjectiveFactor: 2.2, ObjectiveOffset: time.Second}
+	statements = workload.Queue{Name: "statements", Service: testService, Priority: 2, MaxFailures: 2, ObjectiveFactor: 4, ObjectiveOffset: 3 * time.Second}
 )
 
 // runMixedLoad generates the load for a time span on 40 workers and returns its results.
@@ -114,7 +114,7 @@
 	m.jobs++
 	id := fmt.Sprintf("%s-%03d", kind, m.jobs)
 	m.submitToQueue(m.owner, queue, id, request, work)
-	submittedAt, objective := time.Now(), time.Duration(queue.Stretch*float64(work))+queue.Target
+	submittedAt, objective := time.Now(), time.Duration(queue.ObjectiveFactor*float64(work))+queue.ObjectiveOffset
 	m.pending.Go(func() {
 		m.awaitFinal(m.owner, id)
 		m.record(kind, time.Since(submittedAt) <= objective)
--- a/scheduler/calls.go
+++ b/scheduler/calls.go
@@ -245,7 +245,7 @@
 	defer s.mu.Unlock()
 	count := 0
 	for _, j := range s.active {
-		if j.record.Queue.Name == queue && !j.started && !j.record.Request.Timed() && j.saved > 0 {
+		if j.record.Queue.Name == queue && !j.started && !j.record.Request.Scheduled() && j.saved > 0 {
 			count++
 		}
 	}
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -23,7 +23,7 @@
 	withCell(t, 1, func(c *cell) {
 		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 1100 * time.Millisecond} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 1100 * time.Millisecond} })
 		if err := c.submitWithoutTimeout(o, "job", newRequest(2, 8_000)); err != nil {
 			t.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 			o.kill()
 			o = c.startOwner()
 		case 3:
-			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 300 * time.Millisecond} })
+			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 300 * time.Millisecond} })
 		case 4:
 			o.caller.SetFault(nil)
 		}
@@ -106,5 +106,5 @@
 // submitWithoutTimeout submits a job and waits for the store without a time limit.
 func (c *cell) submitWithoutTimeout(o *owner, id string, request workload.Request) error {
 	c.registerJob(id, request, succeedAfter(700*time.Millisecond))
-	return o.Submit(c.ctx, id, workload.Record{Request: request, Queue: c.queue, Accepted: time.Now().UnixMilli()})
+	return o.Submit(c.ctx, id, workload.Record{Request: request, Queue: c.queue, AcceptedAt: time.Now().UnixMilli()})
 }
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -46,7 +46,7 @@
 // owner is a scheduler that runs the shard for one term, with its connections.
 type owner struct {
 	*scheduler.Scheduler
-	caller    *memory.Caller
+	caller    *memory.Client
 	client    *pausableClient
 	kill      context.CancelFunc
 	runResult chan error
@@ -139,7 +139,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		c := &cell{
 			t: t, ctx: ctx, store: memory.New(), fleet: fleettest.New(), lease: fleettest.MostLease,
-			queue: workload.Queue{Name: "diagnostics", Service: testService, Priority: 1, Attempts: 3, Stretch: 2, Target: time.Second},
+			queue: workload.Queue{Name: "diagnostics", Service: testService, Priority: 1, MaxFailures: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second},
 		}
 		for i := range workers {
 			c.fleet.Add(fleet.Worker{
@@ -160,13 +160,13 @@
 // startOwner takes the shard over with a new term and runs its owner.
 func (c *cell) startOwner() *owner {
 	c.t.Helper()
-	caller := c.store.Caller()
+	caller := c.store.NewClient()
 	for {
-		seen, err := leadership.Look(c.ctx, caller, testShard)
+		seen, err := leadership.ReadOwner(c.ctx, caller, testShard)
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		term, err := leadership.Take(c.ctx, caller, testShard, "node", "address", seen)
+		term, err := leadership.Acquire(c.ctx, caller, testShard, "node", "address", seen)
 		var deposed *leadership.DeposedError
 		if errors.As(err, &deposed) {
 			continue // the previous owner wrote to the row in between
@@ -178,7 +178,7 @@
 	}
 }
 
-func (c *cell) runOwner(caller *memory.Caller, term *leadership.Term) *owner {
+func (c *cell) runOwner(caller *memory.Client, term *leadership.Term) *owner {
 	c.t.Helper()
 	ctx, kill := context.WithCancel(c.ctx)
 	client := &pausableClient{Client: c.fleet, resumed: make(chan struct{})}
@@ -212,11 +212,11 @@
 	c.registerJob(id, request, plan)
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
 	defer cancel()
-	return o.Submit(ctx, id, workload.Record{Request: request, Queue: c.queue, Accepted: time.Now().UnixMilli()})
+	return o.Submit(ctx, id, workload.Record{Request: request, Queue: c.queue, AcceptedAt: time.Now().UnixMilli()})
 }
 
 func (c *cell) registerJob(id string, request workload.Request, plan func(workload.TaskID, int) fleettest.Plan) {
-	c.fleet.Know(id, fleettest.Kind{Request: request, Attempts: c.queue.Attempts, Advised: c.queue.Advice.Needed(), Plan: plan})
+	c.fleet.Know(id, fleettest.Kind{Request: request, Attempts: c.queue.MaxFailures, Advised: c.queue.Advice.Enabled(), Plan: plan})
 }
 
 // awaitState polls until a job is in a state, and fails the test if it is not within a time.
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -79,12 +79,12 @@
 		return
 	}
 	if t.runTime() >= crashResetTime {
-		t.crashes = workload.Crashes{}
+		t.crashes = workload.CrashHistory{}
 		return
 	}
 	evidence := s.crashEvidence(t)
-	t.crashes = t.crashes.WithLost(w.info.Life, evidence)
-	if evidence != workload.RanOn {
+	t.crashes = t.crashes.WithLostAttempt(w.info.Life, evidence)
+	if evidence != workload.LateLoss {
 		s.markSuspected(t.step)
 	}
 	w.lostAttempts = append(w.lostAttempts, lostAttempt{t, t.attempt})
@@ -99,7 +99,7 @@
 }
 
 // crashEvidence returns the evidence that the current attempt, which is lost, crashed its worker.
-func (s *Scheduler) crashEvidence(t *task) workload.Evidence {
+func (s *Scheduler) crashEvidence(t *task) workload.LossEvidence {
 	w := t.worker
 	lastAlive := w.lastReportAt
 	if w.connectionClosed {
@@ -107,15 +107,15 @@
 	}
 	switch {
 	case t.recovered: // this owner never reached the worker and cannot tell when it ended
-		return workload.Unclear
+		return workload.InconclusiveLoss
 	case t.startedAt.IsZero() && !t.startConnectionClosed: // the start may not have reached the worker
-		return workload.Unclear
+		return workload.InconclusiveLoss
 	case t.settledBy(lastAlive):
-		return workload.RanOn
+		return workload.LateLoss
 	case w.connectionClosed && s.endedAlone(w, t.step.job):
-		return workload.AtOnce
+		return workload.EarlyLoss
 	}
-	return workload.Unclear
+	return workload.InconclusiveLoss
 }
 
 // lostAttempt is an attempt that was lost with its worker.
@@ -138,7 +138,7 @@
 func (s *Scheduler) clearLost(w *worker) {
 	for _, lost := range w.lostAttempts {
 		if j := lost.task.step.job; !j.state.Final() {
-			lost.task.crashes = lost.task.crashes.WithFound(w.info.Life)
+			lost.task.crashes = lost.task.crashes.WithWorkerAlive(w.info.Life)
 			s.markDirty(j)
 		}
 	}
@@ -154,10 +154,10 @@
 		if j.state.Final() || t.state == taskDone {
 			continue
 		}
-		t.crashes = t.crashes.WithEnded(w.info.Life, t.attempt)
+		t.crashes = t.crashes.WithWorkerCrash(w.info.Life, t.attempt)
 		s.metrics.lostWithWorker.Add(1)
 		s.log.Warn().Str("job", j.id).Str("task", t.id().String()).Int("attempt", lost.number).Str("worker", w.info.ID).
-			Int("workers", t.crashes.Workers).Int("soon", t.crashes.Soon).Int("last_attempt", t.crashes.LastAttempt).
+			Int("workers", t.crashes.WorkerCrashes).Int("soon", t.crashes.EarlyCrashes).Int("last_attempt", t.crashes.LastAttempt).
 			Msg("worker has ended under a task")
 		s.markDirty(j)
 		if !t.hosted() {
@@ -170,7 +170,7 @@
 // failIfCrashing fails the job of a task under which too many workers have ended. The caller must
 // hold s.mu.
 func (s *Scheduler) failIfCrashing(t *task) {
-	if t.state == taskDone || !t.crashes.GivenUp(t.attempt) {
+	if t.state == taskDone || !t.crashes.Exhausted(t.attempt) {
 		return
 	}
 	s.metrics.crashLimitReached.Add(1)
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -107,7 +107,7 @@
 
 func newLastingRequest(count int, cpu resource.MilliCPU) workload.Request {
 	request := newRequest(count, cpu)
-	request.Steps[0].Lasting = true
+	request.Steps[0].LongRunning = true
 	return request
 }
 
--- a/scheduler/crash_waves_test.go
+++ b/scheduler/crash_waves_test.go
@@ -92,7 +92,7 @@
 func (c *cell) runRandomCrashes(rng *rand.Rand) {
 	c.lease = shortLease
 	if rng.IntN(2) == 0 {
-		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
+		c.queue.Advice = workload.AdvicePolicy{CallLatency: 5 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second}
 	}
 	o := c.startOwner()
 	time.Sleep(500 * time.Millisecond)
@@ -103,7 +103,7 @@
 		request.Steps[0].Gang = rng.IntN(4) == 0
 		if rng.IntN(3) == 0 {
 			second := newStep(1+rng.IntN(3), 1000)
-			second.After, second.Checkpoints = []int{0}, true
+			second.DependsOn, second.Checkpoints = []int{0}, true
 			request.Steps = append(request.Steps, second)
 		}
 		plan := succeedAfter(time.Duration(200+rng.IntN(1500)) * time.Millisecond)
@@ -168,7 +168,7 @@
 	case 3:
 		c.fleet.SetFault(nil)
 	case 4:
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
 		o.caller.SetFault(nil)
 	case 5:
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -46,7 +46,7 @@
 	step           *step
 	tasks          []*task // waiting tasks that are being placed
 	quotaAllowance int     // number of tasks that the account's quota allows to start now
-	urgency        urgency.Verdict
+	urgency        urgency.Assessment
 	deadline       time.Time
 }
 
@@ -150,21 +150,21 @@
 		if !st.anyPlaceable() || st.spec.Gang && (!st.idle() || st.anyHeldByLoss()) {
 			continue
 		}
-		verdict := urgency.Judge(workOf(st, now), now)
-		st.setMayPreempt(verdict.Pressed)
+		verdict := urgency.Assess(workOf(st, now), now)
+		st.setMayPreempt(verdict.MayPreempt)
 		list = append(list, candidate{step: st, urgency: verdict, deadline: st.job.deadline})
 	}
 	return list
 }
 
 // workOf returns the properties of a step that determine its urgency.
-func workOf(st *step, now time.Time) urgency.Work {
+func workOf(st *step, now time.Time) urgency.Step {
 	j := st.job
-	return urgency.Work{
+	return urgency.Step{
 		Priority: j.record.Queue.Priority, Arrived: j.arrived, Deadline: j.deadline,
-		Chain:   j.rounds[st.round].remainingChain(&j.record.Request),
-		Untimed: st.spec.Lasting || j.record.Request.Timed(),
-		Idle:    j.idle(now),
-		Beyond:  j.overShare,
+		CriticalPath: j.rounds[st.round].remainingChain(&j.record.Request),
+		NoDeadline:   st.spec.LongRunning || j.record.Request.Scheduled(),
+		Idle:         j.idle(now),
+		OverShare:    j.overShare,
 	}
 }
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -25,9 +25,9 @@
 	w.release(t)
 	switch {
 	case !t.startSent:
-		t.crashes = t.crashes.WithSpareAttempt()
+		t.crashes = t.crashes.WithUnstartedAttempt()
 	case outcome != fleet.Lapsed && !t.startedAt.IsZero():
-		t.crashes = t.crashes.WithSettled() // the worker survived the attempt
+		t.crashes = t.crashes.WithSurvivedAttempt() // the worker survived the attempt
 	}
 	s.finishTrial(w, time.Now())
 	t.ticket, t.recovered = "", false
@@ -40,9 +40,9 @@
 		return
 	}
 	switch {
-	case outcome == fleet.Done && !st.spec.Lasting:
+	case outcome == fleet.Done && !st.spec.LongRunning:
 		s.handleTaskDone(t)
-	case outcome == fleet.Failed && !st.spec.Lasting:
+	case outcome == fleet.Failed && !st.spec.LongRunning:
 		t.lastFailedOn = w
 		s.handleTaskFailure(t)
 	case outcome == fleet.Failed:
@@ -102,7 +102,7 @@
 		}
 	}
 	st.retryAt = time.Now().Add(failureBackoff)
-	if t.failures >= st.job.record.Queue.Attempts {
+	if t.failures >= st.job.record.Queue.MaxFailures {
 		s.finish(st.job, workload.Failed, "a task has failed "+t.id().String())
 	}
 }
--- a/scheduler/evacuated.go
+++ b/scheduler/evacuated.go
@@ -82,7 +82,7 @@
 func (s *Scheduler) admitStart(t *task, expiry time.Time) startDecision {
 	view, now := s.gate.view(), clock.Now()
 	switch {
-	case view.Covers(t.worker.info.Zone):
+	case view.Contains(t.worker.info.Zone):
 		s.cancelStart(t, reasonEvacuated, view, now)
 		return startAbandon
 	case s.gate.fresh(view, now):
--- a/scheduler/evacuated_test.go
+++ b/scheduler/evacuated_test.go
@@ -34,12 +34,12 @@
 func hallOf(worker int) string { return fmt.Sprintf("hall-%d", worker%hallCount) }
 
 // followEvacuations follows the operator's rows through a store client, as a node does.
-func (c *cell) followEvacuations(ctx context.Context, caller *memory.Caller) func() evacuation.View {
+func (c *cell) followEvacuations(ctx context.Context, caller *memory.Client) func() evacuation.View {
 	var newest evacuation.Newest
 	var halls []string
-	reach := rowstore.Reach{Current: func(version uint64, asOf clock.Instant) {
+	reach := rowstore.FollowOptions{OnSynced: func(version uint64, asOf clock.Instant) {
 		newest.Offer(evacuation.NewView(halls, version, asOf))
-	}, Wait: func() time.Duration { return c.evacuateWithin / 3 }}
+	}, PollWait: func() time.Duration { return c.evacuateWithin / 3 }}
 	go rowstore.Follow(ctx, caller, operatorTable, "", func(rows map[string]rowstore.Row) {
 		halls = nil
 		for name := range rows {
@@ -124,17 +124,17 @@
 	gang := newRequest(4, 8000)
 	gang.Steps[0].Gang = true
 	lasting := newRequest(2, 1000)
-	lasting.Steps[0].Lasting = true
+	lasting.Steps[0].LongRunning = true
 	rack := newRequest(2, 1000)
 	rack.Steps[0].SameRack = true
 	near := newRequest(1, 1000)
-	near.Steps[0].NearRack = "r1-0"
+	near.Steps[0].PreferredRack = "r1-0"
 	for name, request := range map[string]workload.Request{
 		"single tasks": newRequest(3, 1000), "a gang": gang, "long-running tasks": lasting, "tasks of one rack": rack, "task near its data": near,
 	} {
 		t.Run(name, func(t *testing.T) {
 			duration := time.Second
-			if request.Steps[0].Lasting {
+			if request.Steps[0].LongRunning {
 				duration = time.Hour
 			}
 			inEvacuationCell(t, func(c *cell) {
@@ -205,7 +205,7 @@
 		time.Sleep(time.Second)
 		o.caller.SetFault(func(write bool) memory.Fault {
 			if write {
-				return memory.Fault{Slow: 800 * time.Millisecond}
+				return memory.Fault{Delay: 800 * time.Millisecond}
 			}
 			return memory.Fault{}
 		})
@@ -229,7 +229,7 @@
 	inEvacuationCell(t, func(c *cell) {
 		o := c.startOwner()
 		time.Sleep(time.Second)
-		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
+		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{DropRequest: !write} })
 		time.Sleep(100 * time.Millisecond)
 		c.evacuate(0)
 		waitPastBound()
@@ -366,9 +366,9 @@
 		c.fleet.SetFault(nil)
 		o.caller.SetFault(nil)
 	case storeReadsLost:
-		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Silent: !write} })
+		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{DropRequest: !write} })
 	case storeCallsLost:
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		time.Sleep(pause)
 		o.caller.SetFault(nil)
 	case workerMoved:
--- a/scheduler/fairness.go
+++ b/scheduler/fairness.go
@@ -46,7 +46,7 @@
 			allowance[j.account]++
 		}
 		counted[j] = true
-		list[i].urgency.Beyond = false
+		list[i].urgency.OverShare = false
 	}
 	slices.SortFunc(list, compareUrgency)
 	for i := range list {
@@ -56,7 +56,7 @@
 			j.overShare = allowance[j.account] == 0
 			allowance[j.account] = max(0, allowance[j.account]-1)
 		}
-		list[i].urgency.Beyond = j.overShare
+		list[i].urgency.OverShare = j.overShare
 	}
 	slices.SortFunc(list, compareUrgency)
 }
--- a/scheduler/fairness_test.go
+++ b/scheduler/fairness_test.go
@@ -82,7 +82,7 @@
 	}}}
 	m.jobs++
 	id := fmt.Sprintf("job-%04d", m.jobs)
-	submittedAt, objective := time.Now(), time.Duration(queue.Stretch*float64(work))+queue.Target
+	submittedAt, objective := time.Now(), time.Duration(queue.ObjectiveFactor*float64(work))+queue.ObjectiveOffset
 	m.pending.Go(func() {
 		if err := m.submit(name, id, queue, request, work); err != nil {
 			m.record(groupOf(name), false)
--- a/scheduler/fault_test.go
+++ b/scheduler/fault_test.go
@@ -138,21 +138,21 @@
 		return func() { r.restartWorkers("w-01", "w-02", "w-03") }
 	}},
 	{"store slow", func(r *faultRun) func() {
-		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Slow: 300 * time.Millisecond} })
+		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Delay: 300 * time.Millisecond} })
 	}},
 	{"store refuses calls", func(r *faultRun) func() {
-		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 	}},
 	{"store does not answer", func(r *faultRun) func() {
-		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		return r.injectStoreFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 	}},
 	{"store responses lost", func(r *faultRun) func() {
-		return r.injectStoreFault(func(write bool) memory.Fault { return memory.Fault{Mute: write && r.rng.Float64() < 0.35} })
+		return r.injectStoreFault(func(write bool) memory.Fault { return memory.Fault{DropResponse: write && r.rng.Float64() < 0.35} })
 	}},
 	{"writes delayed", func(r *faultRun) func() {
 		return r.injectStoreFault(func(write bool) memory.Fault {
 			if write && r.rng.Float64() < 0.35 {
-				return memory.Fault{Late: time.Duration(1+r.rng.IntN(5)) * time.Second}
+				return memory.Fault{ApplyDelay: time.Duration(1+r.rng.IntN(5)) * time.Second}
 			}
 			return memory.Fault{}
 		})
@@ -168,7 +168,7 @@
 	{"owner stalls and resumes", func(r *faultRun) func() {
 		old := r.owner()
 		old.client.pause()
-		old.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		old.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		r.replaceOwner()
 		return func() {
 			old.client.resume()
@@ -188,10 +188,10 @@
 	gang.Steps[0].Gang, gang.Steps[0].Checkpoints = true, true
 	chain := newRequest(5, 1000)
 	next := newStep(3, 2000)
-	next.After, next.Checkpoints = []int{0}, true
+	next.DependsOn, next.Checkpoints = []int{0}, true
 	chain.Steps = append(chain.Steps, next)
 	spread := newRequest(6, 900)
-	spread.Steps[0].PerWorker = 2
+	spread.Steps[0].MaxPerWorker = 2
 	var ids []string
 	for i, request := range []workload.Request{newRequest(2, 1400), gang, chain, spread} {
 		id := fmt.Sprintf("%s%d", prefix, i)
@@ -228,7 +228,7 @@
 	withCell(t, 4, func(c *cell) {
 		c.lease = lease
 		random := &lockedRand{rng: rand.New(rand.NewPCG(seed, 1))}
-		c.queue.Attempts = 30 // no job may reach its limit of failures
+		c.queue.MaxFailures = 30 // no job may reach its limit of failures
 		r := &faultRun{cell: c, rng: random}
 		r.replaceOwner()
 		time.Sleep(100 * time.Millisecond)
@@ -288,7 +288,7 @@
 	for _, outcome := range []fleet.Outcome{fleet.Done, fleet.Failed} {
 		t.Run(string(outcome), func(t *testing.T) {
 			withCell(t, 3, func(c *cell) {
-				c.queue.Attempts = 2
+				c.queue.MaxFailures = 2
 				// Reports are lost for two seconds, and so is the response to the first start on
 				// each worker.
 				began, started := time.Now(), map[string]bool{}
@@ -323,7 +323,7 @@
 // to the worker.
 func TestNoStartWithExpiredTicket(t *testing.T) {
 	withCell(t, 9, func(c *cell) {
-		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
+		c.queue.Advice = workload.AdvicePolicy{CallLatency: 5 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second}
 		o := c.startOwner()
 		time.Sleep(time.Second)
 		if err := c.submit(o, "taken", newRequest(2, 16_000), succeedAfter(700*time.Millisecond)); err != nil {
@@ -333,7 +333,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(500 * time.Millisecond)
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		time.Sleep(5 * time.Second)
 		o.caller.SetFault(nil)
 		c.awaitState(o, "waiting", workload.Completed, 20*time.Second)
--- a/scheduler/gang.go
+++ b/scheduler/gang.go
@@ -22,8 +22,8 @@
 	limit(int64(free.CPU), int64(need.CPU))
 	limit(int64(free.Memory), int64(need.Memory))
 	limit(free.Accelerators, need.Accelerators)
-	if st.spec.PerWorker > 0 {
-		count = min(count, st.spec.PerWorker-st.onWorker[w])
+	if st.spec.MaxPerWorker > 0 {
+		count = min(count, st.spec.MaxPerWorker-st.onWorker[w])
 	}
 	return max(0, count)
 }
@@ -136,7 +136,7 @@
 	}
 	var eligible []*worker
 	for _, w := range p.pools[c.step.job.record.Queue.Service] {
-		mayRun := !c.step.job.record.Queue.Advice.Needed() || c.step.advice.byWorker[w] != nil
+		mayRun := !c.step.job.record.Queue.Advice.Enabled() || c.step.advice.byWorker[w] != nil
 		if mayRun && c.step.allows(w) && !p.blocked[w] {
 			eligible = append(eligible, w)
 		}
--- a/scheduler/gaps.go
+++ b/scheduler/gaps.go
@@ -24,9 +24,9 @@
 // countHeadroom computes the headroom for gangs on the usable workers of each service.
 func (p *pass) countHeadroom(demands map[string]headroom.Demand) {
 	for service, demand := range demands {
-		gaps := demand.GapsAt(p.now)
+		gaps := demand.SlotsAt(p.now)
 		for _, w := range p.pools[service] {
-			gaps = gaps.WithRoom(w.free())
+			gaps = gaps.WithWorker(w.free())
 		}
 		p.headroom[service] = gaps
 	}
@@ -37,13 +37,13 @@
 func (p *pass) keepsHeadroom(st *step, w *worker) bool {
 	gaps, counted := p.headroom[w.info.Service]
 	free := w.free()
-	return counted && !st.spec.Gang && gaps.Keeps(st.job.record.Queue.Priority, free, free.Minus(st.need()))
+	return counted && !st.spec.Gang && gaps.Reserves(st.job.record.Queue.Priority, free, free.Minus(st.need()))
 }
 
 // useHeadroom updates the headroom after a task was placed on a worker; before is the worker's
 // free capacity before that.
 func (p *pass) useHeadroom(w *worker, before resource.Amount) {
 	if gaps, counted := p.headroom[w.info.Service]; counted {
-		p.headroom[w.info.Service] = gaps.WithTaken(before, w.free())
+		p.headroom[w.info.Service] = gaps.WithAllocation(before, w.free())
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -35,12 +35,12 @@
 	h := &t.worker.health
 	switch {
 	case outcome == fleet.Done:
-		h.reliability = h.reliability.WithDone()
+		h.reliability = h.reliability.WithSuccess()
 	case outcome != fleet.Failed || t.state == taskStopping:
 	case t.lastFailedOn != nil && t.lastFailedOn != t.worker:
-		t.lastFailedOn.health.reliability = t.lastFailedOn.health.reliability.WithForgiven()
+		t.lastFailedOn.health.reliability = t.lastFailedOn.health.reliability.WithoutLastFailure()
 	default:
-		h.reliability = h.reliability.WithFailed(t.step.job.id, now)
+		h.reliability = h.reliability.WithFailure(t.step.job.id, now)
 		s.logIfQuarantined(t.worker, now)
 	}
 }
@@ -51,7 +51,7 @@
 		return
 	}
 	s.metrics.quarantined.Add(1)
-	s.log.Info().Str("worker", w.info.ID).Float64("share", w.health.reliability.Share(now)).Int("attempts", len(w.tasks)).
+	s.log.Info().Str("worker", w.info.ID).Float64("share", w.health.reliability.FailureRate(now)).Int("attempts", len(w.tasks)).
 		Msg("worker quarantined after failures")
 }
 
@@ -61,10 +61,10 @@
 
 // trusts reports whether the worker's reliability permits placing a task on it.
 func (p *pass) trusts(w *worker, precious bool) bool {
-	if w.standing == reliability.Sound || p.sparing[w.info.Service].tooManyAvoided() {
+	if w.standing == reliability.Healthy || p.sparing[w.info.Service].tooManyAvoided() {
 		return true // fast path: checked for each worker and step
 	}
-	return w.standing.Takes(reliability.Work{Precious: precious, Beside: len(w.tasks)})
+	return w.standing.Accepts(reliability.Task{Critical: precious, Colocated: len(w.tasks)})
 }
 
 // poolCounts counts the usable workers of a service and those that are avoided.
@@ -76,7 +76,7 @@
 
 // onLastAttempt reports whether another failure of the task fails its job.
 func (t *task) onLastAttempt() bool {
-	return !t.step.spec.Lasting && t.failures+1 >= t.step.job.record.Queue.Attempts
+	return !t.step.spec.LongRunning && t.failures+1 >= t.step.job.record.Queue.MaxFailures
 }
 
 // addSpeed adds a speed sample to the mean.
@@ -108,7 +108,7 @@
 		return
 	}
 	elapsed := now.Sub(t.sampledAt)
-	if elapsed < minSampleInterval || t.step.spec.Estimate == 0 || t.step.spec.Lasting || t.step.spec.Gang {
+	if elapsed < minSampleInterval || t.step.spec.Estimate == 0 || t.step.spec.LongRunning || t.step.spec.Gang {
 		return
 	}
 	moved := float64(percent-t.sampledPercent) / 100 * float64(t.step.spec.Estimate)
@@ -123,7 +123,7 @@
 
 // stalled reports whether a task has made no progress within its stall timeout.
 func (s *Scheduler) stalled(t *task, now time.Time) bool {
-	if !s.progressSeen || t.state != taskRunning || t.step.spec.Lasting || t.step.spec.Estimate == 0 {
+	if !s.progressSeen || t.state != taskRunning || t.step.spec.LongRunning || t.step.spec.Estimate == 0 {
 		return false
 	}
 	urgent := t.step.job.record.Queue.Priority == 0
@@ -138,7 +138,7 @@
 // and is to be restarted elsewhere.
 func (s *Scheduler) shouldMoveOffSlowWorker(t *task, now time.Time) bool {
 	spec := t.step.spec
-	return t.state == taskRunning && t.step.job.record.Queue.Priority == 0 && !spec.Gang && !spec.Lasting && !t.moved && !t.crashes.Numbered() &&
+	return t.state == taskRunning && t.step.job.record.Queue.Priority == 0 && !spec.Gang && !spec.LongRunning && !t.moved && !t.crashes.AttemptsLimited() &&
 		t.percent < slowCheckPercent && now.Sub(t.startedAt) > slowCheckDelay && t.worker.health.slowness(s.fleetSpeed, now) > slowThreshold
 }
 
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -73,7 +73,7 @@
 // A failed task is retried on another worker.
 func TestFailedTaskMovesToAnotherWorker(t *testing.T) {
 	withCell(t, 2, func(c *cell) {
-		c.queue.Attempts = 2
+		c.queue.MaxFailures = 2
 		var mu sync.Mutex
 		var workers []string
 		c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
@@ -107,7 +107,7 @@
 // must not exhaust the attempts of large jobs.
 func TestFailingWorkersOnAFullFleet(t *testing.T) {
 	withCell(t, 20, func(c *cell) {
-		c.queue.Attempts = 2
+		c.queue.MaxFailures = 2
 		for _, unhealthy := range []string{"w-04", "w-11"} {
 			c.fleet.SetSick(unhealthy, fleettest.Plan{Work: 40 * time.Millisecond, Outcome: fleet.Failed})
 		}
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -133,7 +133,7 @@
 	if first || w.unresponsive || len(w.pendingEnds) > 0 {
 		order.Wait = 0
 	}
-	remaining := leaseExtensionWindow - s.term.Unconfirmed()
+	remaining := leaseExtensionWindow - s.term.SinceLastCommit()
 	if remaining < 0 {
 		order.Wait = min(order.Wait, unconfirmedWait)
 	}
