--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -43,7 +43,7 @@
 	preemptions           int       // number of preemptions
 	startSent             bool      // the start may have reached the worker
 	startConnectionClosed bool      // the connection closed during the start call, as when the worker's process exits
-	crashes               workload.Crashes
+	crashes               workload.CrashHistory
 }
 
 func (t *task) id() workload.TaskID {
@@ -113,12 +113,12 @@
 }
 
 // placeable reports whether the task can be placed now.
-func (t *task) placeable() bool { return t.state == taskWaiting && !t.crashes.Held() }
+func (t *task) placeable() bool { return t.state == taskWaiting && !t.crashes.MustWait() }
 
 // anyHeldByLoss reports whether a task waits until it is known whether its lost worker
 // has ended.
 func (st *step) anyHeldByLoss() bool {
-	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.state != taskDone && t.crashes.Held() })
+	return slices.ContainsFunc(st.tasks, func(t *task) bool { return t.state != taskDone && t.crashes.MustWait() })
 }
 
 // anyPlaceable reports whether a task can be placed.
@@ -186,7 +186,7 @@
 
 func newJob(id string, record workload.Record, account *accountState, now time.Time) *job {
 	j := &job{id: id, record: record, account: account, state: workload.Queued, savedState: workload.Queued, done: make(chan struct{})}
-	age := now.Sub(time.UnixMilli(record.Accepted))
+	age := now.Sub(time.UnixMilli(record.AcceptedAt))
 	j.arrived = now.Add(-max(0, age))
 	j.deadline = j.arrived.Add(record.Queue.Objective(record.Request))
 	for number := range record.Request.RoundCount() {
@@ -217,7 +217,7 @@
 
 // ready reports whether all dependencies of a step are done.
 func (r *round) ready(st *step) bool {
-	for _, earlier := range st.spec.After {
+	for _, earlier := range st.spec.DependsOn {
 		if !r.steps[earlier].done() {
 			return false
 		}
@@ -245,7 +245,7 @@
 // remainingChain returns the estimated duration of the longest chain of steps not done.
 func (r *round) remainingChain(request *workload.Request) time.Duration {
 	if !r.remainingValid {
-		r.remaining, r.remainingValid = request.Chain(func(i int) bool { return r.steps[i].done() }), true
+		r.remaining, r.remainingValid = request.CriticalPath(func(i int) bool { return r.steps[i].done() }), true
 	}
 	return r.remaining
 }
@@ -301,7 +301,7 @@
 
 // progress returns the job's progress as it is stored.
 func (j *job) progress() workload.Progress {
-	p := workload.Progress{State: j.state, Begun: j.started, FinalAt: j.finalAt, Generation: j.generation}
+	p := workload.Progress{State: j.state, Started: j.started, FinalAt: j.finalAt, Generation: j.generation}
 	if j.state.Final() {
 		p.Account = j.record.Account.Name
 	}
@@ -321,7 +321,7 @@
 func (st *step) progress() (workload.StepProgress, bool) {
 	sp := workload.StepProgress{Round: st.round, Step: st.index}
 	if st.done() {
-		sp.All = true
+		sp.AllDone = true
 		return sp, true
 	}
 	addressed := map[*worker]bool{}
@@ -330,7 +330,7 @@
 		case t.state == taskDone:
 			sp.Done = workload.SetBit(sp.Done, t.index)
 		case t.attempt > 0 || t.checkpoint != "":
-			tp := workload.TaskProgress{Index: t.index, Attempt: t.attempt, Failures: t.failures, Checkpoint: t.checkpoint, Crashes: t.crashes}
+			tp := workload.TaskProgress{Index: t.index, Attempt: t.attempt, Failures: t.failures, Checkpoint: t.checkpoint, CrashHistory: t.crashes}
 			if t.worker != nil {
 				tp.Worker, tp.Born = t.worker.info.ID, t.worker.info.Born
 				if !addressed[t.worker] { // once per worker, to keep the row small: it is rewritten on each change
@@ -346,7 +346,7 @@
 // restore applies stored progress to a new job. hosts returns the worker for a life,
 // creating it if necessary.
 func (j *job) restore(p workload.Progress, hosts func(life fleet.Life, address string) *worker) {
-	j.state, j.savedState, j.started, j.finalAt = p.State, p.State, p.Begun, p.FinalAt
+	j.state, j.savedState, j.started, j.finalAt = p.State, p.State, p.Started, p.FinalAt
 	j.generation, j.saved = max(1, p.Generation), max(1, p.Generation)
 	for _, sp := range p.Steps {
 		if sp.Round >= len(j.rounds) || sp.Step >= len(j.rounds[sp.Round].steps) {
@@ -358,7 +358,7 @@
 
 func (st *step) restore(sp workload.StepProgress, hosts func(life fleet.Life, address string) *worker) {
 	for _, t := range st.tasks {
-		if sp.All || workload.HasBit(sp.Done, t.index) {
+		if sp.AllDone || workload.HasBit(sp.Done, t.index) {
 			t.markDone()
 		}
 	}
@@ -367,13 +367,13 @@
 			continue
 		}
 		t := st.tasks[tp.Index]
-		t.attempt, t.failures, t.checkpoint, t.crashes = tp.Attempt, tp.Failures, tp.Checkpoint, tp.Crashes
-		st.suspected = st.suspected || t.crashes.Suspect
+		t.attempt, t.failures, t.checkpoint, t.crashes = tp.Attempt, tp.Failures, tp.Checkpoint, tp.CrashHistory
+		st.suspected = st.suspected || t.crashes.Suspected
 		if tp.Worker != "" {
 			hosts(fleet.Life{ID: tp.Worker, Born: tp.Born}, tp.Address).assign(t, taskStarting)
 			t.recovered, t.startSent = true, true
 		}
-		for _, lost := range t.crashes.Open {
+		for _, lost := range t.crashes.Unresolved {
 			w := hosts(lost.Life(), "")
 			w.lostAttempts = append(w.lostAttempts, lostAttempt{t, t.attempt})
 		}
--- a/scheduler/late_report_test.go
+++ b/scheduler/late_report_test.go
@@ -24,13 +24,13 @@
 // tasks as running.
 func newReportFixture(t *testing.T, tasks int) *reportFixture {
 	t.Helper()
-	term, err := leadership.Take(t.Context(), memory.New().Caller(), "main", "node", "address", leadership.Sighting{})
+	term, err := leadership.Acquire(t.Context(), memory.New().NewClient(), "main", "node", "address", leadership.ObservedRow{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := New(Config{Shard: "main", Lease: time.Second}, memory.New(), nil, term, NewMetrics(), zerolog.Nop())
 	w := s.addLife(fleet.Worker{Life: fleet.Life{ID: "w", Born: 1}, Service: "s"})
-	queue := workload.Queue{Name: "q", Service: "s", Attempts: 3}
+	queue := workload.Queue{Name: "q", Service: "s", MaxFailures: 3}
 	request := workload.Request{Steps: []workload.Step{{Count: tasks}}}
 	j := newJob("job", workload.Record{Request: request, Queue: queue}, s.accountOf(account.Terms{}), time.Now())
 	s.jobs[j.id], s.active[j.id] = j, j
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -18,7 +18,7 @@
 		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		lasting := newRequest(1, 2000)
-		lasting.Steps[0].Lasting = true
+		lasting.Steps[0].LongRunning = true
 		if err := c.submit(o, "lasting", lasting, succeedAfter(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 	})
 	t.Run("store down for longer than a lease", func(t *testing.T) {
 		withLastingTask(t, func(c *cell, o *owner, host string) {
-			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 			time.Sleep(7 * time.Second)
 			o.caller.SetFault(nil)
 			time.Sleep(10 * time.Second)
@@ -89,7 +89,7 @@
 	})
 	t.Run("takeover with the worker reachable only by the former owner", func(t *testing.T) {
 		withLastingTask(t, func(c *cell, o *owner, host string) {
-			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+			o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 			next := c.startOwner()
 			next.client.blockWorker(host)
 			c.awaitStarts(2, 10*time.Second)
@@ -106,7 +106,7 @@
 		time.Sleep(time.Second)
 		gang := newRequest(3, 2000)
 		gang.Steps[0].Gang = true
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		c.fleet.SetFault(func(fleettest.Call, string) fleettest.Fault { return fleettest.Fault{Lost: true} })
 		go c.submit(o, "gang", gang, succeedAfter(time.Second))
 		time.Sleep(6 * time.Second)
--- a/scheduler/leave_test.go
+++ b/scheduler/leave_test.go
@@ -28,7 +28,7 @@
 					t.Fatal(err)
 				}
 				lasting := newRequest(1, 2000)
-				lasting.Steps[0].Lasting = true
+				lasting.Steps[0].LongRunning = true
 				if err := c.submit(o, "lasting", lasting, succeedAfter(time.Hour)); err != nil {
 					t.Fatal(err)
 				}
--- a/scheduler/lives.go
+++ b/scheduler/lives.go
@@ -54,7 +54,7 @@
 		return s.term.Token()
 	}
 	if id.token <= id.staleToken {
-		id.token = max(id.token, s.term.Confirmed())
+		id.token = max(id.token, s.term.ConfirmedVersion())
 	}
 	return id.token
 }
--- a/scheduler/lives_order_test.go
+++ b/scheduler/lives_order_test.go
@@ -152,7 +152,7 @@
 	case clearCallFaults:
 		c.fleet.SetFault(nil)
 	case hangStore:
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 		time.Sleep(pause / 4)
 		o.caller.SetFault(nil)
 	case stepClockBack:
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -109,7 +109,7 @@
 		if p.State.Final() {
 			terms := account.Terms{Name: p.Account}
 			s.jobs[id] = &job{
-				id: id, record: workload.Record{Account: terms}, account: s.accountOf(terms), state: p.State, savedState: p.State, started: p.Begun, finalAt: p.FinalAt,
+				id: id, record: workload.Record{Account: terms}, account: s.accountOf(terms), state: p.State, savedState: p.State, started: p.Started, finalAt: p.FinalAt,
 				generation: max(1, p.Generation), saved: max(1, p.Generation),
 			}
 		}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -37,7 +37,7 @@
 // refreshTicket replaces the task's ticket by the latest one and reports whether it is
 // valid, or not needed. The ticket may have expired while the grant was written.
 func (s *Scheduler) refreshTicket(t *task, now time.Time) bool {
-	if !t.step.job.record.Queue.Advice.Needed() {
+	if !t.step.job.record.Queue.Advice.Enabled() {
 		return true
 	}
 	text, ok := t.step.advice.ticketFor(t.worker, now)
--- a/scheduler/owed_test.go
+++ b/scheduler/owed_test.go
@@ -18,7 +18,7 @@
 	newCandidate := func(id string, a *accountState, latest int, beyond bool) candidate {
 		return candidate{
 			step:    &step{job: &job{id: id, account: a, overShare: beyond, record: record}},
-			urgency: urgency.Verdict{Rank: urgency.InTime, Latest: now.Add(time.Duration(latest) * time.Second), Beyond: beyond},
+			urgency: urgency.Assessment{Rank: urgency.InTime, LatestStart: now.Add(time.Duration(latest) * time.Second), OverShare: beyond},
 		}
 	}
 	cases := []struct {
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -17,15 +17,15 @@
 	workerTimes     WorkerTimes
 	halls           evacuation.View // workers in evacuated halls get no tasks
 	serial          uint64
-	lastGrowth      map[string]uint64        // serial of the last pass in which a worker gained capacity, by service
-	pools           map[string][]*worker     // usable workers by service, sorted by descending free CPU
-	blocked         map[*worker]bool         // blocked for a waiting gang
-	includeUnlisted bool                     // unlisted workers may still be alive
-	blockingGangs   int                      // waiting gangs with blocked workers
-	withheld        bool                     // a worker was withheld from the current candidate
-	waitingGangs    []*step                  // gangs that patient steps defer to
-	headroom        map[string]headroom.Gaps // by service
-	sparing         map[string]poolCounts    // by service
+	lastGrowth      map[string]uint64         // serial of the last pass in which a worker gained capacity, by service
+	pools           map[string][]*worker      // usable workers by service, sorted by descending free CPU
+	blocked         map[*worker]bool          // blocked for a waiting gang
+	includeUnlisted bool                      // unlisted workers may still be alive
+	blockingGangs   int                       // waiting gangs with blocked workers
+	withheld        bool                      // a worker was withheld from the current candidate
+	waitingGangs    []*step                   // gangs that patient steps defer to
+	headroom        map[string]headroom.Slots // by service
+	sparing         map[string]poolCounts     // by service
 	// quotaReservedFor is the gang that the rest of an account's quota is reserved for.
 	quotaReservedFor map[*accountState]*step
 	// quotaPreemptionTried holds the accounts whose own tasks were considered for preemption.
@@ -37,14 +37,14 @@
 func newPass(now time.Time, serial uint64, includeUnlisted bool, times WorkerTimes, halls evacuation.View) *pass {
 	return &pass{
 		now: now, serial: serial, includeUnlisted: includeUnlisted, workerTimes: times, halls: halls, pools: map[string][]*worker{}, lastGrowth: map[string]uint64{},
-		headroom: map[string]headroom.Gaps{}, blocked: map[*worker]bool{}, sparing: map[string]poolCounts{}, quotaReservedFor: map[*accountState]*step{},
+		headroom: map[string]headroom.Slots{}, blocked: map[*worker]bool{}, sparing: map[string]poolCounts{}, quotaReservedFor: map[*accountState]*step{},
 		quotaPreemptionTried: map[*accountState]bool{},
 	}
 }
 
 // add adds a worker to the pool of its service if it is usable.
 func (p *pass) add(w *worker) {
-	usable := w.usable(p.now, p.includeUnlisted) && !p.halls.Covers(w.info.Zone)
+	usable := w.usable(p.now, p.includeUnlisted) && !p.halls.Contains(w.info.Zone)
 	former := w.standing
 	w.standing = w.health.reliability.Standing(p.now)
 	if usable && (!w.wasUsable || w.roomFreed || w.standing < former) {
@@ -89,7 +89,7 @@
 		p.withheld = true
 		return false
 	}
-	if c.urgency.Patient && (p.defersToGang(c.step, w) || p.keepsHeadroom(c.step, w)) {
+	if c.urgency.DefersToGangs && (p.defersToGang(c.step, w) || p.keepsHeadroom(c.step, w)) {
 		p.withheld = true
 		return false
 	}
@@ -140,6 +140,6 @@
 
 // allows reports whether the worker's service, labels and total capacity suit the step.
 func (st *step) allows(w *worker) bool {
-	return w.info.Service == st.job.record.Queue.Service && w.info.HasLabel(st.spec.Label) &&
+	return w.info.Service == st.job.record.Queue.Service && w.info.HasLabel(st.spec.RequiredLabel) &&
 		st.spec.Need.Fits(w.info.Capacity)
 }
--- a/scheduler/place.go
+++ b/scheduler/place.go
@@ -56,7 +56,7 @@
 			return
 		}
 		place := s.fitPlace(c.step, w, p.now)
-		place.FailedHere = t.lastFailedOn == w
+		place.FailedSameTask = t.lastFailedOn == w
 		score := fit.Score(place)
 		if best == nil || score < bestScore {
 			best, bestScore = w, score
@@ -71,13 +71,13 @@
 }
 
 // fitPlace returns the properties of a worker that fit.Score rates for a task of a step.
-func (s *Scheduler) fitPlace(st *step, w *worker, now time.Time) fit.Place {
-	place := fit.Place{
-		Capacity: w.info.Capacity, Left: w.free().Minus(st.need()), Unsound: w.standing != reliability.Sound,
-		Failures: w.health.reliability.Share(now), Slowness: w.health.slowness(s.fleetSpeed, now),
+func (s *Scheduler) fitPlace(st *step, w *worker, now time.Time) fit.Candidate {
+	place := fit.Candidate{
+		Capacity: w.info.Capacity, Remaining: w.free().Minus(st.need()), Unhealthy: w.standing != reliability.Healthy,
+		FailureRate: w.health.reliability.FailureRate(now), Slowdown: w.health.slowness(s.fleetSpeed, now),
 	}
-	if st.spec.NearRack != "" && st.spec.NearRack != w.info.Rack {
-		place.Remote = s.remoteFactor - 1
+	if st.spec.PreferredRack != "" && st.spec.PreferredRack != w.info.Rack {
+		place.RemoteSlowdown = s.remoteFactor - 1
 	}
 	return place
 }
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -84,10 +84,10 @@
 // already.
 func (p *pass) preemptible(t *task) bool {
 	spec, j, now := t.step.spec, t.step.job, p.now
-	if t.state != taskRunning || !spec.Checkpoints || spec.Gang || spec.Lasting || j.record.Request.Timed() {
+	if t.state != taskRunning || !spec.Checkpoints || spec.Gang || spec.LongRunning || j.record.Request.Scheduled() {
 		return false
 	}
-	if t.preemptions >= maxPreemptions || t.crashes.Numbered() || now.Sub(t.startedAt) < minRunTime {
+	if t.preemptions >= maxPreemptions || t.crashes.AttemptsLimited() || now.Sub(t.startedAt) < minRunTime {
 		return false
 	}
 	rest := j.rounds[t.step.round].remainingChain(&j.record.Request) - min(spec.Estimate, now.Sub(t.startedAt))
@@ -119,7 +119,7 @@
 // that capacity for the step. It does nothing if preemption cannot free enough.
 func (s *Scheduler) preempt(p *pass, c candidate, tasks int) {
 	st := c.step
-	if p.preemptionAttempts >= maxPreemptionAttempts || !c.urgency.Pressed || p.now.Before(st.reservedUntil) {
+	if p.preemptionAttempts >= maxPreemptionAttempts || !c.urgency.MayPreempt || p.now.Before(st.reservedUntil) {
 		return
 	}
 	p.preemptionAttempts++
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -19,12 +19,12 @@
 func (c *cell) submitToQueue(o *owner, queue workload.Queue, id string, request workload.Request, work time.Duration) {
 	c.t.Helper()
 	c.fleet.Know(id, fleettest.Kind{
-		Request: request, Attempts: queue.Attempts, Advised: queue.Advice.Needed(),
+		Request: request, Attempts: queue.MaxFailures, Advised: queue.Advice.Enabled(),
 		Plan: func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: work} },
 	})
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
 	defer cancel()
-	record := workload.Record{Request: request, Queue: queue, Accepted: time.Now().UnixMilli()}
+	record := workload.Record{Request: request, Queue: queue, AcceptedAt: time.Now().UnixMilli()}
 	if err := o.Submit(ctx, id, record); err != nil {
 		c.t.Fatal(err)
 	}
@@ -53,7 +53,9 @@
 		},
 		{
 			name: "not if the preempted job would be late", gang: true,
-			change: func(_ *workload.Step, queue *workload.Queue) { queue.Stretch, queue.Target = 1, time.Second },
+			change: func(_ *workload.Step, queue *workload.Queue) {
+				queue.ObjectiveFactor, queue.ObjectiveOffset = 1, time.Second
+			},
 		},
 		{
 			name: "not at the same priority", gang: true,
@@ -68,19 +70,19 @@
 		t.Run(test.name, func(t *testing.T) {
 			withCell(t, 2, func(c *cell) {
 				o := c.startOwner()
-				claims := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 5, Target: 10 * time.Second}
+				claims := workload.Queue{Name: "claims", Service: testService, Priority: 2, MaxFailures: 3, ObjectiveFactor: 5, ObjectiveOffset: 10 * time.Second}
 				filler := workload.Step{Count: 8, Need: resource.Amount{CPU: 4000, Memory: gigabyte}, Estimate: fillerWork, Checkpoints: true}
 				if test.change != nil {
 					test.change(&filler, &claims)
 				}
 				c.submitToQueue(o, claims, "filler", workload.Request{Spec: "f", Steps: []workload.Step{filler}}, fillerWork)
 				time.Sleep(time.Second)
-				desk := workload.Queue{Name: "desk", Service: testService, Priority: 1, Attempts: 3, Stretch: 2, Target: time.Second}
+				desk := workload.Queue{Name: "desk", Service: testService, Priority: 1, MaxFailures: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second}
 				if test.hasSlack {
-					desk.Stretch = 10
+					desk.ObjectiveFactor = 10
 				}
 				if test.advised {
-					desk.Advice = workload.AdvicePolicy{Decision: 100 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
+					desk.Advice = workload.AdvicePolicy{CallLatency: 100 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second}
 				}
 				urgent := workload.Step{Count: 4, Need: resource.Amount{CPU: 4000, Memory: gigabyte}, Estimate: time.Second, Gang: test.gang}
 				start := time.Now()
@@ -132,15 +134,15 @@
 		}
 		o.SetAdviceNodes(lanes)
 		costly := workload.Queue{
-			Name: "diagnostics-2", Service: testService, Priority: 1, Attempts: 3, Stretch: 10, Target: time.Second,
-			Advice: workload.AdvicePolicy{Decision: costlyCall, Each: time.Millisecond, Valid: 2 * time.Second},
+			Name: "diagnostics-2", Service: testService, Priority: 1, MaxFailures: 3, ObjectiveFactor: 10, ObjectiveOffset: time.Second,
+			Advice: workload.AdvicePolicy{CallLatency: costlyCall, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second},
 		}
 		for i := range 20 {
 			c.submitToQueue(o, costly, fmt.Sprintf("costly-%02d", i), newRequest(1, 1000), time.Second)
 		}
 		cheap := workload.Queue{
-			Name: "lookups", Service: testService, Priority: 0, Attempts: 3, Stretch: 1.5, Target: 250 * time.Millisecond,
-			Advice: workload.AdvicePolicy{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second},
+			Name: "lookups", Service: testService, Priority: 0, MaxFailures: 3, ObjectiveFactor: 1.5, ObjectiveOffset: 250 * time.Millisecond,
+			Advice: workload.AdvicePolicy{CallLatency: 10 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second},
 		}
 		start := time.Now()
 		var submitted sync.WaitGroup
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -91,7 +91,7 @@
 // step and the candidate can wait.
 func (p *pass) quotaReserved(c *candidate) bool {
 	reservedFor := p.quotaReservedFor[c.step.job.account]
-	return reservedFor != nil && reservedFor != c.step && c.urgency.MayWait && c.urgency.Rank != urgency.UrgentInTime
+	return reservedFor != nil && reservedFor != c.step && c.urgency.Deferrable && c.urgency.Rank != urgency.UrgentInTime
 }
 
 // dominantShare returns the largest share of the quota that the account uses of any resource.
@@ -114,7 +114,7 @@
 // that frees enough of it.
 func (s *Scheduler) preemptForQuota(p *pass, c candidate) {
 	st, a := c.step, c.step.job.account
-	if p.quotaPreemptionTried[a] || !c.urgency.Pressed || p.now.Before(st.reservedUntil) {
+	if p.quotaPreemptionTried[a] || !c.urgency.MayPreempt || p.now.Before(st.reservedUntil) {
 		return
 	}
 	p.quotaPreemptionTried[a] = true // once per pass, for the most urgent step
@@ -158,12 +158,12 @@
 	})
 	quota, need := a.terms.Quota, c.step.spec.Need
 	for i, t := range list {
-		if quota.Fitting(used, need, wanted) >= wanted {
+		if quota.AdditionalTasks(used, need, wanted) >= wanted {
 			return list[:i]
 		}
 		used = used.Minus(t.step.spec.Need)
 	}
-	if quota.Fitting(used, need, wanted) < wanted {
+	if quota.AdditionalTasks(used, need, wanted) < wanted {
 		return nil
 	}
 	return list
--- a/scheduler/quota_cost_test.go
+++ b/scheduler/quota_cost_test.go
@@ -25,8 +25,8 @@
 // BenchmarkCompare measures one comparison of two steps by urgency.
 func BenchmarkCompare(b *testing.B) {
 	now := time.Unix(1000, 0)
-	x := urgency.Judge(urgency.Work{Priority: 1, Arrived: now, Deadline: now.Add(9 * time.Second), Chain: 4 * time.Second}, now)
-	y := urgency.Judge(urgency.Work{Priority: 1, Arrived: now, Deadline: now.Add(8 * time.Second), Chain: 2 * time.Second, Beyond: true}, now)
+	x := urgency.Assess(urgency.Step{Priority: 1, Arrived: now, Deadline: now.Add(9 * time.Second), CriticalPath: 4 * time.Second}, now)
+	y := urgency.Assess(urgency.Step{Priority: 1, Arrived: now, Deadline: now.Add(8 * time.Second), CriticalPath: 2 * time.Second, OverShare: true}, now)
 	for b.Loop() {
 		if urgency.Compare(x, y) >= 0 {
 			b.Fatal("step beyond the account's share sorts first, want it last")
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -104,7 +104,7 @@
 func TestPreemptionAtQuota(t *testing.T) {
 	withCell(t, 4, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)}, account.Terms{Name: "b", Weight: 1})
-		batch := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 5, Target: 20 * time.Second}
+		batch := workload.Queue{Name: "claims", Service: testService, Priority: 2, MaxFailures: 3, ObjectiveFactor: 5, ObjectiveOffset: 20 * time.Second}
 		filler := workload.Request{Spec: "f", Steps: []workload.Step{{
 			Count: 4, Need: resource.Amount{CPU: 4_000, Memory: gigabyte}, Estimate: 6 * time.Second, Checkpoints: true,
 		}}}
@@ -112,7 +112,7 @@
 		a.mustSubmit("b", "batch-b", batch, filler, 6*time.Second)
 		c.awaitStarts(8, time.Second)
 		time.Sleep(500 * time.Millisecond)
-		lookups := workload.Queue{Name: "lookups", Service: testService, Priority: 0, Attempts: 3, Stretch: 2, Target: time.Second}
+		lookups := workload.Queue{Name: "lookups", Service: testService, Priority: 0, MaxFailures: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second}
 		a.mustSubmit("a", "urgent", lookups, newRequest(1, 4_000), time.Second)
 		a.awaitState("a", "urgent", workload.Completed, 2500*time.Millisecond)
 		if used := c.fleet.UsedBy("b"); used.CPU != 16_000 {
@@ -130,7 +130,7 @@
 		a.owner.SetAdviceNodes([]scheduler.AdviceNode{{Node: "node", Self: true, Advisor: advisor}})
 		advised := c.queue
 		advised.Name = "advised" // the configured queue needs no advice
-		advised.Advice = workload.AdvicePolicy{Decision: 10 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
+		advised.Advice = workload.AdvicePolicy{CallLatency: 10 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second}
 		a.mustSubmit("a", "first", advised, newRequest(1, 4_000), 5*time.Second)
 		c.awaitStarts(1, time.Second)
 		asked := advisor.calls.Load()
@@ -147,7 +147,7 @@
 func TestGangNotStarvedAtQuota(t *testing.T) {
 	withCell(t, 8, func(c *cell) {
 		a := c.withAccounts(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(16_000)})
-		lowPriority := workload.Queue{Name: "claims", Service: testService, Priority: 2, Attempts: 3, Stretch: 50, Target: time.Minute}
+		lowPriority := workload.Queue{Name: "claims", Service: testService, Priority: 2, MaxFailures: 3, ObjectiveFactor: 50, ObjectiveOffset: time.Minute}
 		go func() {
 			for i := 0; c.ctx.Err() == nil; i++ {
 				time.Sleep(200 * time.Millisecond)
@@ -273,7 +273,7 @@
 			a.owner.Scheduler.Cancel(c.ctx, name, id) // no effect if the job is another account's or final
 		}
 	case 8:
-		a.owner.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Slow: 200 * time.Millisecond} })
+		a.owner.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Delay: 200 * time.Millisecond} })
 	case 9:
 		a.owner.caller.SetFault(nil)
 	}
--- a/scheduler/relist_test.go
+++ b/scheduler/relist_test.go
@@ -12,7 +12,7 @@
 // answer stay in use without an entry; after that they get no starts.
 func TestExpiredDiscoveryEntries(t *testing.T) {
 	outage := func(c *cell, o *owner) {
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		time.Sleep(3 * time.Second)
 		c.fleet.Unlist(true)
 		time.Sleep(600 * time.Millisecond)
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -213,7 +213,7 @@
 	}
 	s.log.Warn().Str("job", j.id).Str("task", end.Task).Int("attempt", end.Number).Str("outcome", string(end.Outcome)).
 		Msg("end of an attempt that was given up")
-	if end.Outcome == fleet.Done && !t.step.spec.Lasting {
+	if end.Outcome == fleet.Done && !t.step.spec.LongRunning {
 		s.stop(t, "an earlier attempt is done")
 		s.handleTaskDone(t)
 	} else if end.Checkpoint != "" && t.step.spec.Checkpoints && !t.hosted() {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -51,8 +51,8 @@
 	// RemoteFactor is the ratio of a task's run time away from its data to its run time
 	// near it; values up to 1 mean unknown.
 	RemoteFactor float64
-	// Lateness, if not nil, returns how late timers currently fire in this process.
-	Lateness func() time.Duration
+	// TimerLag, if not nil, returns how late timers currently fire in this process.
+	TimerLag func() time.Duration
 	// Evacuations, if not nil, returns the current view of evacuated data halls.
 	Evacuations func() evacuation.View
 	// EvacuateWithin is how long after an evacuation is ordered tasks may still start
@@ -63,10 +63,10 @@
 // lateness returns how late timers fire in this process. Answers that have arrived are
 // processed at least as late.
 func (c Config) lateness() time.Duration {
-	if c.Lateness == nil {
+	if c.TimerLag == nil {
 		return 0
 	}
-	return c.Lateness()
+	return c.TimerLag()
 }
 
 func (c Config) workerTimes() WorkerTimes {
@@ -160,7 +160,7 @@
 		identities: map[string]*identity{}, endedLives: map[fleet.Life]bool{}, maxLease: max(config.Lease, config.LongestLease),
 		queues: map[string]workload.Queue{}, accounts: map[string]*accountState{}, demands: map[string]headroom.Demand{},
 		stoppingStrays: map[string]bool{}, bundles: map[string]*bundle{}, eligibleShares: map[string]float64{}, fleetSpeed: 1,
-		formerLeaseExpiry: latestLeaseExpiry(term.FormerSuccess().Add(leaseExtensionWindow), config.Lease), Loaded: make(chan struct{}),
+		formerLeaseExpiry: latestLeaseExpiry(term.FormerSentBefore().Add(leaseExtensionWindow), config.Lease), Loaded: make(chan struct{}),
 		firstCalls: newCallLimiter(maxFirstCalls),
 		commitWake: make(chan struct{}, 1), dispatchWake: make(chan struct{}, 1), commitSlot: make(chan struct{}, 1),
 	}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -17,19 +17,19 @@
 func TestCompletesJobs(t *testing.T) {
 	chain := newRequest(4, 1000)
 	second := newStep(3, 2000)
-	second.After = []int{0}
+	second.DependsOn = []int{0}
 	third := newStep(2, 500)
-	third.After = []int{0, 1}
+	third.DependsOn = []int{0, 1}
 	chain.Steps = append(chain.Steps, second, third)
 
 	gang := newRequest(6, 4500)
 	gang.Steps[0].Gang = true
 
 	spread := newRequest(8, 500)
-	spread.Steps[0].PerWorker = 2
+	spread.Steps[0].MaxPerWorker = 2
 
 	labelled := newRequest(2, 500)
-	labelled.Steps[0].Label = "a"
+	labelled.Steps[0].RequiredLabel = "a"
 
 	oneRack := newRequest(4, 4000)
 	oneRack.Steps[0].SameRack = true
@@ -64,7 +64,7 @@
 
 func TestTicketsAreRequestedInAdvance(t *testing.T) {
 	withCell(t, 9, func(c *cell) {
-		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
+		c.queue.Advice = workload.AdvicePolicy{CallLatency: 5 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second}
 		o := c.startOwner()
 		if err := c.submit(o, "job", newRequest(40, 4000), succeedAfter(3*time.Second)); err != nil {
 			t.Fatal(err)
@@ -201,7 +201,7 @@
 	withCell(t, 2, func(c *cell) {
 		request := newRequest(2, 1000)
 		request.Rounds, request.Interval = 3, 2*time.Second
-		request.First = time.Now().Add(time.Second).UnixMilli()
+		request.FirstDue = time.Now().Add(time.Second).UnixMilli()
 		o := c.startOwner()
 		if err := c.submit(o, "job", request, succeedAfter(500*time.Millisecond)); err != nil {
 			t.Fatal(err)
@@ -224,12 +224,12 @@
 func TestLastingStepIsRestarted(t *testing.T) {
 	withCell(t, 2, func(c *cell) {
 		request := newRequest(1, 1000)
-		request.Steps[0].Lasting = true
+		request.Steps[0].LongRunning = true
 		o := c.startOwner()
 		plan := func(workload.TaskID, int) fleettest.Plan {
 			return fleettest.Plan{Work: time.Second, Outcome: fleet.Failed}
 		}
-		c.queue.Attempts = 1 << 20
+		c.queue.MaxFailures = 1 << 20
 		if err := c.submit(o, "job", request, plan); err != nil {
 			t.Fatal(err)
 		}
@@ -263,7 +263,7 @@
 	withCell(t, 1, func(c *cell) {
 		o := c.startOwner()
 		time.Sleep(time.Second)
-		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Refuse: true} })
+		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		time.Sleep(3 * time.Second)
 		begun := time.Now()
 		err := c.submit(o, "job", newRequest(1, 1000), succeedAfter(time.Second))
@@ -286,11 +286,11 @@
 	withCell(t, 1, func(c *cell) {
 		o := c.startOwner()
 		time.Sleep(time.Second)
-		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Mute: write, Silent: !write} })
+		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{DropResponse: write, DropRequest: !write} })
 		c.registerJob("job", newRequest(1, 1000), succeedAfter(time.Second))
 		ctx, cancel := context.WithTimeout(c.ctx, 500*time.Millisecond)
 		defer cancel()
-		err := o.Submit(ctx, "job", workload.Record{Request: newRequest(1, 1000), Queue: c.queue, Accepted: time.Now().UnixMilli()})
+		err := o.Submit(ctx, "job", workload.Record{Request: newRequest(1, 1000), Queue: c.queue, AcceptedAt: time.Now().UnixMilli()})
 		var unconfirmed *scheduler.UnconfirmedError
 		if !errors.As(err, &unconfirmed) {
 			t.Errorf("got %v, want UnconfirmedError", err)
@@ -321,7 +321,7 @@
 // Guards against data races between SetLanes and calls for advice.
 func TestSetLanesDuringAdviceCalls(t *testing.T) {
 	withCell(t, 9, func(c *cell) {
-		c.queue.Advice = workload.AdvicePolicy{Decision: 5 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
+		c.queue.Advice = workload.AdvicePolicy{CallLatency: 5 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second}
 		o := c.startOwner()
 		stop := make(chan struct{})
 		go func() {
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -26,7 +26,7 @@
 				c.lease = shortLease
 				o := c.startOwner()
 				time.Sleep(2 * time.Second)
-				o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Silent: true} })
+				o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
 				machine.Suspend(test.suspended)
 				resumed := time.Now()
 				time.Sleep(8 * time.Second)
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -84,9 +84,9 @@
 	st.suspected = false
 	for _, t := range st.tasks {
 		if t.worker == w {
-			t.crashes = t.crashes.WithSettled()
+			t.crashes = t.crashes.WithSurvivedAttempt()
 		}
-		st.suspected = st.suspected || t.state != taskDone && t.crashes.Suspect
+		st.suspected = st.suspected || t.state != taskDone && t.crashes.Suspected
 	}
 }
 
--- a/scheduler/withdraw.go
+++ b/scheduler/withdraw.go
@@ -32,8 +32,8 @@
 }
 
 // urgency returns the urgency of the round's first step.
-func (r *round) urgency(now time.Time) urgency.Verdict {
-	return urgency.Judge(workOf(r.steps[0], now), now)
+func (r *round) urgency(now time.Time) urgency.Assessment {
+	return urgency.Assess(workOf(r.steps[0], now), now)
 }
 
 // withdraw removes a job that no transaction has included. The lock is held.
--- a/scheduler/withdraw_test.go
+++ b/scheduler/withdraw_test.go
@@ -21,7 +21,7 @@
 func (c *cell) submitAsync(o *owner, id string, queue workload.Queue, request workload.Request) <-chan submitResult {
 	answer := make(chan submitResult, 1)
 	c.registerJob(id, request, succeedAfter(request.Steps[0].Estimate))
-	record := workload.Record{Request: request, Queue: queue, Accepted: time.Now().UnixMilli()}
+	record := workload.Record{Request: request, Queue: queue, AcceptedAt: time.Now().UnixMilli()}
 	start := time.Now()
 	go func() {
 		err := o.Submit(c.ctx, id, record)
@@ -61,7 +61,7 @@
 	withCell(t, 8, func(c *cell) {
 		o := c.startOwner()
 		time.Sleep(time.Second)
-		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Refuse: true} })
+		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Reject: true} })
 		time.Sleep(300 * time.Millisecond) // the pending transaction then holds only the owner's row
 		first := c.submitAsync(o, "lookup", lookups, lookupRequest())
 		again := c.submitAsync(o, "lookup", lookups, lookupRequest())
@@ -91,7 +91,7 @@
 	withCell(t, 8, func(c *cell) {
 		o := c.startOwner()
 		time.Sleep(time.Second)
-		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{Mute: write, Silent: !write} })
+		o.caller.SetFault(func(write bool) memory.Fault { return memory.Fault{DropResponse: write, DropRequest: !write} })
 		answer := c.submitAsync(o, "lookup", lookups, lookupRequest())
 		wantError[*scheduler.UnconfirmedError](t, "a lookup that was sent", (<-answer).err)
 		o.caller.SetFault(nil)
@@ -102,7 +102,7 @@
 // A job that was rejected during a store outage never runs, and all other jobs complete.
 func TestRejectedJobsDoNotRun(t *testing.T) {
 	for _, outage := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
-		for _, fault := range []memory.Fault{{Refuse: true}, {Silent: true}, {Mute: true}} {
+		for _, fault := range []memory.Fault{{Reject: true}, {DropRequest: true}, {DropResponse: true}} {
 			t.Run(fmt.Sprintf("%v %+v", outage, fault), func(t *testing.T) {
 				withCell(t, 12, func(c *cell) { runOutage(c, outage, fault) })
 			})
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -113,7 +113,7 @@
 // CPU.
 func (st *step) need() resource.Amount {
 	need := st.spec.Need
-	if st.spec.Fills {
+	if st.spec.BestEffortCPU {
 		need.CPU = 0
 	}
 	return need
--- a/settings/node.go
+++ b/settings/node.go
@@ -209,8 +209,8 @@
 	return nil
 }
 
-// LeaseInForce returns the lease limited to the longest one that workers accept.
-func (s *Node) LeaseInForce() time.Duration { return min(s.Times.Lease, s.Times.LongestLease) }
+// EffectiveLease returns the lease limited to the longest one that workers accept.
+func (s *Node) EffectiveLease() time.Duration { return min(s.Times.Lease, s.Times.LongestLease) }
 
 // Level returns the minimum level of log messages.
 func (s *Node) Level() zerolog.Level {
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -100,7 +100,7 @@
 func TestLoadNodeDefaultsMissingPlatformOptions(t *testing.T) {
 	t.Run("none missing", func(t *testing.T) {
 		s := assertDefaulted(t, completeNode)
-		if s.LeaseInForce() != 3*time.Second || s.Store.PartitionWrites != 150 {
+		if s.EffectiveLease() != 3*time.Second || s.Store.PartitionWrites != 150 {
 			t.Errorf("settings: %+v", s)
 		}
 		if want := (settings.NodeWorker{Stop: 900 * time.Millisecond, Restore: 350 * time.Millisecond, RemoteFactor: 3}); s.Worker != want {
@@ -128,8 +128,8 @@
 	})
 	t.Run("lease limited to longest lease", func(t *testing.T) {
 		s := assertDefaulted(t, strings.Replace(completeNode, "10000ms", "2000ms", 1))
-		if s.LeaseInForce() != 2*time.Second {
-			t.Errorf("got lease %v, want 2s", s.LeaseInForce())
+		if s.EffectiveLease() != 2*time.Second {
+			t.Errorf("got lease %v, want 2s", s.EffectiveLease())
 		}
 	})
 	t.Run("invalid value reported with its line", func(t *testing.T) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// Fault returns an error about a setting, with the file and line if the settings were read
+// OptionError returns an error about a setting, with the file and line if the settings were read
 // from a file.
-func (s *Settings) Fault(section, key, reason string) error {
+func (s *Settings) OptionError(section, key, reason string) error {
 	if s.file == nil {
 		return &Error{Key: section + "." + key, Reason: reason}
 	}
@@ -207,7 +207,7 @@
 
 // check validates the values of settings, single and in combination.
 func (s *Settings) check() error {
-	optionError := s.Fault
+	optionError := s.OptionError
 	if err := invalidAddressReason(s.Box.HTTP); err != "" {
 		return optionError("box", "http", err)
 	}
--- a/urgency/urgency.go
+++ b/urgency/urgency.go
@@ -32,62 +32,62 @@
 	maxIdle = 2 * time.Second
 )
 
-// Work describes a waiting step.
-type Work struct {
+// Step describes a waiting step.
+type Step struct {
 	Priority int // of the queue; 0 is the highest
 	// Arrived is the arrival time of the job, and Deadline the time by which it should be
 	// completed.
 	Arrived, Deadline time.Time
-	// Chain is the estimated duration of the critical path that remains.
-	Chain time.Duration
-	// Untimed is set for work without a deadline, which runs indefinitely or has a schedule of
+	// CriticalPath is the estimated duration of the critical path that remains.
+	CriticalPath time.Duration
+	// NoDeadline is set for work without a deadline, which runs indefinitely or has a schedule of
 	// its own.
-	Untimed bool
+	NoDeadline bool
 	// Idle is how long the job has had no task on a worker; 0 if it has one.
 	Idle time.Duration
-	// Beyond is set if the job exceeds the fair share of its account.
-	Beyond bool
+	// OverShare is set if the job exceeds the fair share of its account.
+	OverShare bool
 }
 
-// Verdict is the urgency of a step at a point in time.
-type Verdict struct {
+// Assessment is the urgency of a step at a point in time.
+type Assessment struct {
 	Rank Rank
-	// Latest is the latest time at which the critical path can start and meet the deadline.
-	Latest time.Time
-	// Pressed is set if the step may preempt work of lesser queues.
-	Pressed bool
-	// MayWait is set if the step may be held back although there is room, because its job
+	// LatestStart is the latest time at which the critical path can start and meet the deadline.
+	LatestStart time.Time
+	// MayPreempt is set if the step may preempt work of lesser queues.
+	MayPreempt bool
+	// Deferrable is set if the step may be held back although there is room, because its job
 	// has a task on a worker or has been idle only briefly.
-	MayWait bool
-	// Patient is set if the step leaves room to gangs of higher-priority queues, waiting or
+	Deferrable bool
+	// DefersToGangs is set if the step leaves room to gangs of higher-priority queues, waiting or
 	// expected.
-	Patient bool
-	// Beyond is set if the job exceeds the fair share of its account. Its steps are ordered after
+	DefersToGangs bool
+	// OverShare is set if the job exceeds the fair share of its account. Its steps are ordered after
 	// other steps of the same rank.
-	Beyond bool
+	OverShare bool
 }
 
 // InTime reports whether the step can meet its deadline.
-func (v Verdict) InTime() bool { return v.Rank <= InTime }
+func (v Assessment) InTime() bool { return v.Rank <= InTime }
 
-// Judge returns the urgency of a step.
-func Judge(w Work, now time.Time) Verdict {
-	v := Verdict{Rank: rank(w, now), Latest: w.Deadline.Add(-w.Chain), MayWait: w.Idle < maxIdle, Beyond: w.Beyond}
-	if w.Untimed {
+// Assess returns the urgency of a step.
+func Assess(w Step, now time.Time) Assessment {
+	v := Assessment{Rank: rank(w, now), LatestStart: w.Deadline.Add(-w.CriticalPath), Deferrable: w.Idle < maxIdle, OverShare: w.OverShare}
+	if w.NoDeadline {
 		return v
 	}
-	margin := time.Duration(estimateMargin * float64(w.Chain))
-	v.Pressed = v.Rank <= InTime && (w.Priority == 0 || now.Add(preemptLead+margin).After(v.Latest))
-	v.Patient = v.MayWait && w.Priority > 0 && now.Add(yieldLead+margin).Before(v.Latest)
+	margin := time.Duration(estimateMargin * float64(w.CriticalPath))
+	v.MayPreempt = v.Rank <= InTime && (w.Priority == 0 || now.Add(preemptLead+margin).After(v.LatestStart))
+	v.DefersToGangs = v.Deferrable && w.Priority > 0 && now.Add(yieldLead+margin).Before(v.LatestStart)
 	return v
 }
 
-func rank(w Work, now time.Time) Rank {
+func rank(w Step, now time.Time) Rank {
 	urgent := w.Priority == 0
 	switch {
-	case w.Untimed:
+	case w.NoDeadline:
 		return InTime
-	case now.Add(w.Chain).Before(w.Deadline):
+	case now.Add(w.CriticalPath).Before(w.Deadline):
 		if urgent {
 			return UrgentInTime
 		}
@@ -101,8 +101,8 @@
 }
 
 // Compare orders the most urgent step first.
-func Compare(a, b Verdict) int {
-	return cmp.Or(cmp.Compare(a.Rank, b.Rank), compareBool(a.Beyond, b.Beyond), a.Latest.Compare(b.Latest))
+func Compare(a, b Assessment) int {
+	return cmp.Or(cmp.Compare(a.Rank, b.Rank), compareBool(a.OverShare, b.OverShare), a.LatestStart.Compare(b.LatestStart))
 }
 
 // compareBool orders false before true.
--- a/urgency/urgency_test.go
+++ b/urgency/urgency_test.go
@@ -16,9 +16,9 @@
 
 // work returns a step of a job that arrives at start. The objective and the critical path are in
 // seconds.
-func work(priority int, objective, chain float64) urgency.Work {
-	return urgency.Work{
-		Priority: priority, Arrived: start, Deadline: at(objective), Chain: at(chain).Sub(start),
+func work(priority int, objective, chain float64) urgency.Step {
+	return urgency.Step{
+		Priority: priority, Arrived: start, Deadline: at(objective), CriticalPath: at(chain).Sub(start),
 	}
 }
 
@@ -27,10 +27,10 @@
 	idle := statement
 	idle.Idle = 2500 * time.Millisecond
 	untimed := work(1, 1, 1)
-	untimed.Untimed = true
+	untimed.NoDeadline = true
 	cases := []struct {
 		name             string
-		work             urgency.Work
+		work             urgency.Step
 		now              float64
 		rank             urgency.Rank
 		preempts, yields bool
@@ -49,8 +49,8 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			got := urgency.Judge(test.work, at(test.now))
-			if got.Rank != test.rank || got.Pressed != test.preempts || got.Patient != test.yields {
+			got := urgency.Assess(test.work, at(test.now))
+			if got.Rank != test.rank || got.MayPreempt != test.preempts || got.DefersToGangs != test.yields {
 				t.Errorf("got %+v, want rank %d, preempts %v, yields %v", got, test.rank, test.preempts, test.yields)
 			}
 		})
@@ -62,13 +62,13 @@
 func TestUrgencyOverTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		step := work(rapid.IntRange(0, 3).Draw(t, "priority"), rapid.Float64Range(0.1, 60).Draw(t, "objective"), rapid.Float64Range(0, 20).Draw(t, "chain"))
-		previous := urgency.Judge(step, start)
+		previous := urgency.Assess(step, start)
 		for seconds := 0.0; seconds < 70; seconds += 0.25 {
-			v := urgency.Judge(step, at(seconds))
-			if v.Pressed && v.Patient {
+			v := urgency.Assess(step, at(seconds))
+			if v.MayPreempt && v.DefersToGangs {
 				t.Fatalf("preempts and yields after %v s: %+v", seconds, v)
 			}
-			if v.Rank < previous.Rank || v.Patient && !previous.Patient || previous.Pressed && !v.Pressed && v.Rank <= urgency.InTime {
+			if v.Rank < previous.Rank || v.DefersToGangs && !previous.DefersToGangs || previous.MayPreempt && !v.MayPreempt && v.Rank <= urgency.InTime {
 				t.Fatalf("less urgent after %v s: %+v, was %+v", seconds, v, previous)
 			}
 			previous = v
@@ -77,9 +77,9 @@
 }
 
 func TestCompare(t *testing.T) {
-	ordered := []urgency.Verdict{
-		urgency.Judge(work(0, 1.2, 0.6), start), urgency.Judge(work(1, 5, 4), start), urgency.Judge(work(2, 18, 3.4), start),
-		urgency.Judge(work(0, 0.5, 0.6), start), urgency.Judge(work(1, 3, 4), start),
+	ordered := []urgency.Assessment{
+		urgency.Assess(work(0, 1.2, 0.6), start), urgency.Assess(work(1, 5, 4), start), urgency.Assess(work(2, 18, 3.4), start),
+		urgency.Assess(work(0, 0.5, 0.6), start), urgency.Assess(work(1, 3, 4), start),
 	}
 	for i := range ordered[1:] {
 		if urgency.Compare(ordered[i], ordered[i+1]) >= 0 || urgency.Compare(ordered[i+1], ordered[i]) <= 0 {
--- a/workload/crashes.go
+++ b/workload/crashes.go
@@ -16,34 +16,34 @@
 	attemptsAfterLimit = 2
 )
 
-// Crashes is the persistent record of workers that ended while running a task. A worker that
+// CrashHistory is the persistent record of workers that ended while running a task. A worker that
 // crashes cannot report the outcome of its tasks, so without this record a task that crashes
 // its workers would be restarted indefinitely.
-type Crashes struct {
-	// Workers is the number of workers that ended while they held an attempt.
-	Workers int `cbor:"6,keyasint,omitempty"`
-	// Soon is the number of workers that ended alone, immediately after the attempt started.
-	Soon int `cbor:"7,keyasint,omitempty"`
+type CrashHistory struct {
+	// WorkerCrashes is the number of workers that ended while they held an attempt.
+	WorkerCrashes int `cbor:"6,keyasint,omitempty"`
+	// EarlyCrashes is the number of workers that ended alone, immediately after the attempt started.
+	EarlyCrashes int `cbor:"7,keyasint,omitempty"`
 	// LastAttempt is the number of the last permitted attempt, or 0 if there is no limit.
 	LastAttempt int `cbor:"8,keyasint,omitempty"`
-	// Open lists lost workers that may have crashed or may only be unreachable.
-	Open []LostWorker `cbor:"9,keyasint,omitempty"`
-	// Suspect reports whether the task may be crashing its workers: an attempt was lost that
+	// Unresolved lists lost workers that may have crashed or may only be unreachable.
+	Unresolved []LostWorker `cbor:"9,keyasint,omitempty"`
+	// Suspected reports whether the task may be crashing its workers: an attempt was lost that
 	// is not known to have run past its start, and no attempt has survived since.
-	Suspect bool `cbor:"10,keyasint,omitempty"`
+	Suspected bool `cbor:"10,keyasint,omitempty"`
 }
 
-// Evidence classifies the loss of an attempt together with its worker.
-type Evidence int
+// LossEvidence classifies the loss of an attempt together with its worker.
+type LossEvidence int
 
 const (
-	// RanOn means that the attempt had run for some time before the worker was lost.
-	RanOn Evidence = iota
-	// Unclear means that the attempt may not have started, or that other workers were lost
+	// LateLoss means that the attempt had run for some time before the worker was lost.
+	LateLoss LossEvidence = iota
+	// InconclusiveLoss means that the attempt may not have started, or that other workers were lost
 	// at the same time.
-	Unclear
-	// AtOnce means that only this worker was lost, immediately after the attempt had started.
-	AtOnce
+	InconclusiveLoss
+	// EarlyLoss means that only this worker was lost, immediately after the attempt had started.
+	EarlyLoss
 )
 
 // LostWorker identifies a worker incarnation that stopped responding until its lease expired.
@@ -57,46 +57,46 @@
 // Life returns the incarnation that was lost.
 func (l LostWorker) Life() fleet.Life { return fleet.Life{ID: l.ID, Born: l.Born} }
 
-// WithLost returns c with the loss of an attempt whose worker may have crashed.
-func (c Crashes) WithLost(worker fleet.Life, evidence Evidence) Crashes {
-	c.Open = append(c.unresolvedExcept(worker), LostWorker{worker.ID, worker.Born, evidence == AtOnce})
-	c.Suspect = c.Suspect || evidence != RanOn
+// WithLostAttempt returns c with the loss of an attempt whose worker may have crashed.
+func (c CrashHistory) WithLostAttempt(worker fleet.Life, evidence LossEvidence) CrashHistory {
+	c.Unresolved = append(c.unresolvedExcept(worker), LostWorker{worker.ID, worker.Born, evidence == EarlyLoss})
+	c.Suspected = c.Suspected || evidence != LateLoss
 	return c
 }
 
-// WithSettled returns c after an attempt has survived its start.
-func (c Crashes) WithSettled() Crashes {
-	c.Suspect = false
+// WithSurvivedAttempt returns c after an attempt has survived its start.
+func (c CrashHistory) WithSurvivedAttempt() CrashHistory {
+	c.Suspected = false
 	return c
 }
 
-// WithFound returns c after a lost worker has responded again, which rules out a crash.
-func (c Crashes) WithFound(worker fleet.Life) Crashes {
-	c.Open = c.unresolvedExcept(worker)
+// WithWorkerAlive returns c after a lost worker has responded again, which rules out a crash.
+func (c CrashHistory) WithWorkerAlive(worker fleet.Life) CrashHistory {
+	c.Unresolved = c.unresolvedExcept(worker)
 	return c
 }
 
-// WithEnded returns c after a lost worker is confirmed to have ended. attempt is the task's
+// WithWorkerCrash returns c after a lost worker is confirmed to have ended. attempt is the task's
 // latest attempt. A worker that is not recorded as lost leaves c unchanged.
-func (c Crashes) WithEnded(worker fleet.Life, attempt int) Crashes {
-	i := slices.IndexFunc(c.Open, func(lost LostWorker) bool { return lost.Life() == worker })
+func (c CrashHistory) WithWorkerCrash(worker fleet.Life, attempt int) CrashHistory {
+	i := slices.IndexFunc(c.Unresolved, func(lost LostWorker) bool { return lost.Life() == worker })
 	if i < 0 {
 		return c
 	}
-	c.Workers++
-	if c.Open[i].Early {
-		c.Soon++
+	c.WorkerCrashes++
+	if c.Unresolved[i].Early {
+		c.EarlyCrashes++
 	}
-	if c.Workers == crashLimit {
+	if c.WorkerCrashes == crashLimit {
 		c.LastAttempt = attempt + attemptsAfterLimit
 	}
-	c.Open = c.unresolvedExcept(worker)
+	c.Unresolved = c.unresolvedExcept(worker)
 	return c
 }
 
-// WithSpareAttempt returns c after an attempt that no worker has started. Such an attempt does
+// WithUnstartedAttempt returns c after an attempt that no worker has started. Such an attempt does
 // not count towards the limit.
-func (c Crashes) WithSpareAttempt() Crashes {
+func (c CrashHistory) WithUnstartedAttempt() CrashHistory {
 	if c.LastAttempt > 0 {
 		c.LastAttempt++
 	}
@@ -104,9 +104,9 @@
 }
 
 // unresolvedExcept returns the lost workers other than the given one.
-func (c Crashes) unresolvedExcept(worker fleet.Life) []LostWorker {
+func (c CrashHistory) unresolvedExcept(worker fleet.Life) []LostWorker {
 	var rest []LostWorker
-	for _, lost := range c.Open {
+	for _, lost := range c.Unresolved {
 		if lost.Life() != worker {
 			rest = append(rest, lost)
 		}
@@ -114,18 +114,18 @@
 	return rest
 }
 
-// Held reports whether the task must not start until its lost workers are known to have
+// MustWait reports whether the task must not start until its lost workers are known to have
 // crashed or not, because their crashes would reach a limit.
-func (c Crashes) Held() bool {
-	if len(c.Open) == 0 {
+func (c CrashHistory) MustWait() bool {
+	if len(c.Unresolved) == 0 {
 		return false
 	}
-	return c.Soon+c.unresolvedEarly() >= earlyCrashLimit || c.Workers+len(c.Open) >= crashLimit
+	return c.EarlyCrashes+c.unresolvedEarly() >= earlyCrashLimit || c.WorkerCrashes+len(c.Unresolved) >= crashLimit
 }
 
-func (c Crashes) unresolvedEarly() int {
+func (c CrashHistory) unresolvedEarly() int {
 	count := 0
-	for _, lost := range c.Open {
+	for _, lost := range c.Unresolved {
 		if lost.Early {
 			count++
 		}
@@ -133,11 +133,11 @@
 	return count
 }
 
-// GivenUp reports whether a task is given up after an attempt that did not complete.
-func (c Crashes) GivenUp(attempt int) bool {
-	return c.Soon >= earlyCrashLimit || c.LastAttempt > 0 && attempt >= c.LastAttempt
+// Exhausted reports whether a task is given up after an attempt that did not complete.
+func (c CrashHistory) Exhausted(attempt int) bool {
+	return c.EarlyCrashes >= earlyCrashLimit || c.LastAttempt > 0 && attempt >= c.LastAttempt
 }
 
-// Numbered reports whether the task has a limited number of attempts left. Such attempts must
+// AttemptsLimited reports whether the task has a limited number of attempts left. Such attempts must
 // not be preempted.
-func (c Crashes) Numbered() bool { return c.LastAttempt > 0 }
+func (c CrashHistory) AttemptsLimited() bool { return c.LastAttempt > 0 }
--- a/workload/crashes_test.go
+++ b/workload/crashes_test.go
@@ -15,11 +15,11 @@
 func life(worker string) fleet.Life { return fleet.Life{ID: worker, Born: 1} }
 
 // crashesAfter returns the record of a task after one worker crash per piece of evidence.
-func crashesAfter(evidence ...workload.Evidence) workload.Crashes {
-	var c workload.Crashes
+func crashesAfter(evidence ...workload.LossEvidence) workload.CrashHistory {
+	var c workload.CrashHistory
 	for i, e := range evidence {
 		worker := fmt.Sprintf("w-%d", i)
-		c = c.WithLost(life(worker), e).WithEnded(life(worker), i+1)
+		c = c.WithLostAttempt(life(worker), e).WithWorkerCrash(life(worker), i+1)
 	}
 	return c
 }
@@ -27,30 +27,30 @@
 func TestCrashLimits(t *testing.T) {
 	cases := []struct {
 		name    string
-		crashes workload.Crashes
+		crashes workload.CrashHistory
 		attempt int
 		held    bool
 		givenUp bool
 	}{
-		{"no crash", workload.Crashes{}, 9, false, false},
-		{"one early crash", crashesAfter(workload.AtOnce), 1, false, false},
-		{"two early crashes", crashesAfter(workload.AtOnce, workload.AtOnce), 2, false, true},
-		{"one early and one late crash", crashesAfter(workload.AtOnce, workload.RanOn), 2, false, false},
-		{"one early crash and one lost worker", crashesAfter(workload.AtOnce).WithLost(life("w-9"), workload.AtOnce), 2, true, false},
-		{"one early crash and one worker that responds again", crashesAfter(workload.AtOnce).WithLost(life("w-9"), workload.AtOnce).WithFound(life("w-9")), 2, false, false},
-		{"three late crashes", crashesAfter(workload.RanOn, workload.RanOn, workload.RanOn), 3, false, false},
-		{"three late crashes and one more attempt", crashesAfter(workload.RanOn, workload.RanOn, workload.RanOn), 4, false, false},
-		{"three late crashes and two more attempts", crashesAfter(workload.RanOn, workload.RanOn, workload.RanOn), 5, false, true},
-		{"three late crashes and two more attempts, one not started", crashesAfter(workload.RanOn, workload.RanOn, workload.RanOn).WithSpareAttempt(), 5, false, false},
-		{"two late crashes and one lost worker", crashesAfter(workload.RanOn, workload.RanOn).WithLost(life("w-9"), workload.Unclear), 3, true, false},
-		{"crash reported twice", crashesAfter(workload.AtOnce).WithEnded(life("w-0"), 1), 1, false, false},
+		{"no crash", workload.CrashHistory{}, 9, false, false},
+		{"one early crash", crashesAfter(workload.EarlyLoss), 1, false, false},
+		{"two early crashes", crashesAfter(workload.EarlyLoss, workload.EarlyLoss), 2, false, true},
+		{"one early and one late crash", crashesAfter(workload.EarlyLoss, workload.LateLoss), 2, false, false},
+		{"one early crash and one lost worker", crashesAfter(workload.EarlyLoss).WithLostAttempt(life("w-9"), workload.EarlyLoss), 2, true, false},
+		{"one early crash and one worker that responds again", crashesAfter(workload.EarlyLoss).WithLostAttempt(life("w-9"), workload.EarlyLoss).WithWorkerAlive(life("w-9")), 2, false, false},
+		{"three late crashes", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss), 3, false, false},
+		{"three late crashes and one more attempt", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss), 4, false, false},
+		{"three late crashes and two more attempts", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss), 5, false, true},
+		{"three late crashes and two more attempts, one not started", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss).WithUnstartedAttempt(), 5, false, false},
+		{"two late crashes and one lost worker", crashesAfter(workload.LateLoss, workload.LateLoss).WithLostAttempt(life("w-9"), workload.InconclusiveLoss), 3, true, false},
+		{"crash reported twice", crashesAfter(workload.EarlyLoss).WithWorkerCrash(life("w-0"), 1), 1, false, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.crashes.Held(); got != test.held {
+			if got := test.crashes.MustWait(); got != test.held {
 				t.Errorf("held = %v, want %v", got, test.held)
 			}
-			if got := test.crashes.GivenUp(test.attempt); got != test.givenUp {
+			if got := test.crashes.Exhausted(test.attempt); got != test.givenUp {
 				t.Errorf("given up = %v, want %v", got, test.givenUp)
 			}
 		})
@@ -61,7 +61,7 @@
 // regardless of the order in which the crashes are confirmed.
 func TestAttemptsAreLimitedAfterThreeCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c workload.Crashes
+		var c workload.CrashHistory
 		attempt, crashed, startsAfterLimit := 0, 0, 0
 		type lostAttempt struct {
 			worker  string
@@ -69,7 +69,7 @@
 		}
 		var unresolved []lostAttempt
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
-			if !c.Held() && !c.GivenUp(attempt) && rapid.Bool().Draw(t, "start") {
+			if !c.MustWait() && !c.Exhausted(attempt) && rapid.Bool().Draw(t, "start") {
 				attempt++
 				if crashed >= 3 {
 					startsAfterLimit++
@@ -80,7 +80,7 @@
 				}
 				worker := fmt.Sprintf("w-%d", attempt)
 				unresolved = append(unresolved, lostAttempt{worker, crashes})
-				c = c.WithLost(life(worker), workload.Evidence(rapid.IntRange(0, 2).Draw(t, "evidence")))
+				c = c.WithLostAttempt(life(worker), workload.LossEvidence(rapid.IntRange(0, 2).Draw(t, "evidence")))
 				continue
 			}
 			if len(unresolved) == 0 {
@@ -88,9 +88,9 @@
 			}
 			i := rapid.IntRange(0, len(unresolved)-1).Draw(t, "resolved")
 			if unresolved[i].crashed {
-				c = c.WithEnded(life(unresolved[i].worker), attempt)
+				c = c.WithWorkerCrash(life(unresolved[i].worker), attempt)
 			} else {
-				c = c.WithFound(life(unresolved[i].worker))
+				c = c.WithWorkerAlive(life(unresolved[i].worker))
 			}
 			unresolved = slices.Delete(unresolved, i, i+1)
 		}
--- a/workload/progress.go
+++ b/workload/progress.go
@@ -33,23 +33,23 @@
 	// Address is the address of the worker, which lets a new owner contact it before discovery
 	// has listed it. It is set only on the first task of the step on each worker.
 	Address string `cbor:"12,keyasint,omitempty"`
-	Crashes
+	CrashHistory
 }
 
 // StepProgress is the persistent state of a step.
 type StepProgress struct {
-	Round int            `cbor:"1,keyasint,omitempty"`
-	Step  int            `cbor:"2,keyasint,omitempty"`
-	Done  []byte         `cbor:"3,keyasint,omitempty"` // bit set of completed tasks; nil if all are done
-	All   bool           `cbor:"4,keyasint,omitempty"` // all tasks are done
-	Tasks []TaskProgress `cbor:"5,keyasint,omitempty"`
+	Round   int            `cbor:"1,keyasint,omitempty"`
+	Step    int            `cbor:"2,keyasint,omitempty"`
+	Done    []byte         `cbor:"3,keyasint,omitempty"` // bit set of completed tasks; nil if all are done
+	AllDone bool           `cbor:"4,keyasint,omitempty"` // all tasks are done
+	Tasks   []TaskProgress `cbor:"5,keyasint,omitempty"`
 }
 
 // Progress is the persistent state of a job apart from its request.
 type Progress struct {
 	State   State          `cbor:"1,keyasint"`
 	Steps   []StepProgress `cbor:"2,keyasint,omitempty"`
-	Begun   bool           `cbor:"3,keyasint,omitempty"` // at least one task has been started
+	Started bool           `cbor:"3,keyasint,omitempty"` // at least one task has been started
 	FinalAt int64          `cbor:"4,keyasint,omitempty"` // when the state became final, in Unix milliseconds
 	// Generation increases with each change to the job; the row with the highest value is current.
 	Generation uint64 `cbor:"6,keyasint,omitempty"`
@@ -74,9 +74,9 @@
 
 // Record is the stored row of an accepted job.
 type Record struct {
-	Request  Request `cbor:"1,keyasint"`
-	Queue    Queue   `cbor:"2,keyasint"`
-	Accepted int64   `cbor:"3,keyasint"` // in Unix milliseconds
+	Request    Request `cbor:"1,keyasint"`
+	Queue      Queue   `cbor:"2,keyasint"`
+	AcceptedAt int64   `cbor:"3,keyasint"` // in Unix milliseconds
 	// Account holds the terms of the owning account at the time of acceptance. They remain in
 	// force if a later configuration removes the account. Empty for a job without an account.
 	Account account.Terms `cbor:"4,keyasint,omitempty"`
--- a/workload/queue.go
+++ b/workload/queue.go
@@ -5,35 +5,35 @@
 // AdvicePolicy describes the placement advice service of a queue. The zero value means that the
 // queue does not use advice.
 type AdvicePolicy struct {
-	Decision time.Duration `cbor:"1,keyasint,omitempty"` // fixed duration of a call
-	Each     time.Duration `cbor:"2,keyasint,omitempty"` // added per worker named in the call
-	Valid    time.Duration `cbor:"3,keyasint,omitempty"` // lifetime of the returned tickets
+	CallLatency      time.Duration `cbor:"1,keyasint,omitempty"` // fixed duration of a call
+	PerWorkerLatency time.Duration `cbor:"2,keyasint,omitempty"` // added per worker named in the call
+	TicketTTL        time.Duration `cbor:"3,keyasint,omitempty"` // lifetime of the returned tickets
 }
 
-// Needed reports whether tasks of the queue need a ticket to start.
-func (p AdvicePolicy) Needed() bool { return p.Valid > 0 }
+// Enabled reports whether tasks of the queue need a ticket to start.
+func (p AdvicePolicy) Enabled() bool { return p.TicketTTL > 0 }
 
-// Cost returns the expected duration of a call that names the given number of workers.
-func (p AdvicePolicy) Cost(workers int) time.Duration {
-	return p.Decision + time.Duration(workers)*p.Each
+// Latency returns the expected duration of a call that names the given number of workers.
+func (p AdvicePolicy) Latency(workers int) time.Duration {
+	return p.CallLatency + time.Duration(workers)*p.PerWorkerLatency
 }
 
 // Queue is the scheduling policy for the jobs submitted on one route.
 type Queue struct {
-	Name     string        `cbor:"1,keyasint"`
-	Service  string        `cbor:"2,keyasint"` // service whose workers run the tasks
-	Priority int           `cbor:"3,keyasint"` // 0 is the highest
-	Attempts int           `cbor:"4,keyasint"` // number of failures after which a task is not retried
-	Stretch  float64       `cbor:"5,keyasint"` // critical path multiplier of the objective
-	Target   time.Duration `cbor:"6,keyasint"` // added to the stretched critical path
-	Advice   AdvicePolicy  `cbor:"7,keyasint,omitempty"`
+	Name            string        `cbor:"1,keyasint"`
+	Service         string        `cbor:"2,keyasint"` // service whose workers run the tasks
+	Priority        int           `cbor:"3,keyasint"` // 0 is the highest
+	MaxFailures     int           `cbor:"4,keyasint"` // number of failures after which a task is not retried
+	ObjectiveFactor float64       `cbor:"5,keyasint"` // critical path multiplier of the objective
+	ObjectiveOffset time.Duration `cbor:"6,keyasint"` // added to the stretched critical path
+	Advice          AdvicePolicy  `cbor:"7,keyasint,omitempty"`
 }
 
 // Objective returns the target duration from submission to completion of a request.
 func (q Queue) Objective(r Request) time.Duration {
-	criticalPath := time.Duration(float64(r.Chain(nil)) * max(1, q.Stretch))
-	advice := time.Duration(len(r.Steps)) * q.Advice.Cost(objectiveAdviceWorkers)
-	return criticalPath + q.Target + advice
+	criticalPath := time.Duration(float64(r.CriticalPath(nil)) * max(1, q.ObjectiveFactor))
+	advice := time.Duration(len(r.Steps)) * q.Advice.Latency(objectiveAdviceWorkers)
+	return criticalPath + q.ObjectiveOffset + advice
 }
 
 const (
--- a/workload/request.go
+++ b/workload/request.go
@@ -17,22 +17,22 @@
 
 // Step is a set of identical tasks.
 type Step struct {
-	Count       int             `cbor:"1,keyasint"`
-	Need        resource.Amount `cbor:"2,keyasint"`
-	Estimate    time.Duration   `cbor:"3,keyasint,omitempty"` // approximate run time of one task
-	After       []int           `cbor:"4,keyasint,omitempty"` // indexes of earlier steps that must complete first
-	Checkpoints bool            `cbor:"5,keyasint,omitempty"`
-	Gang        bool            `cbor:"6,keyasint,omitempty"` // all tasks run concurrently or not at all
-	SameRack    bool            `cbor:"7,keyasint,omitempty"`
-	Label       string          `cbor:"8,keyasint,omitempty"`  // label required of the worker
-	NearRack    string          `cbor:"9,keyasint,omitempty"`  // rack that holds the input data
-	PerWorker   int             `cbor:"10,keyasint,omitempty"` // maximum number of tasks per worker; 0: unlimited
-	Speculative bool            `cbor:"11,keyasint,omitempty"` // copies of a task may run concurrently
-	Lasting     bool            `cbor:"12,keyasint,omitempty"` // runs until the job is cancelled
-	Image       string          `cbor:"13,keyasint,omitempty"`
-	Fills       bool            `cbor:"14,keyasint,omitempty"` // reserves no CPU and uses what is idle
-	MayMiss     int             `cbor:"15,keyasint,omitempty"`
-	TargetMS    int64           `cbor:"16,keyasint,omitempty"`
+	Count         int             `cbor:"1,keyasint"`
+	Need          resource.Amount `cbor:"2,keyasint"`
+	Estimate      time.Duration   `cbor:"3,keyasint,omitempty"` // approximate run time of one task
+	DependsOn     []int           `cbor:"4,keyasint,omitempty"` // indexes of earlier steps that must complete first
+	Checkpoints   bool            `cbor:"5,keyasint,omitempty"`
+	Gang          bool            `cbor:"6,keyasint,omitempty"` // all tasks run concurrently or not at all
+	SameRack      bool            `cbor:"7,keyasint,omitempty"`
+	RequiredLabel string          `cbor:"8,keyasint,omitempty"`  // label required of the worker
+	PreferredRack string          `cbor:"9,keyasint,omitempty"`  // rack that holds the input data
+	MaxPerWorker  int             `cbor:"10,keyasint,omitempty"` // maximum number of tasks per worker; 0: unlimited
+	Speculative   bool            `cbor:"11,keyasint,omitempty"` // copies of a task may run concurrently
+	LongRunning   bool            `cbor:"12,keyasint,omitempty"` // runs until the job is cancelled
+	Image         string          `cbor:"13,keyasint,omitempty"`
+	BestEffortCPU bool            `cbor:"14,keyasint,omitempty"` // reserves no CPU and uses what is idle
+	MayMiss       int             `cbor:"15,keyasint,omitempty"`
+	TargetMS      int64           `cbor:"16,keyasint,omitempty"`
 }
 
 // Request is the immutable specification of a job as submitted by a client.
@@ -40,7 +40,7 @@
 	Spec     string        `cbor:"1,keyasint"`
 	Steps    []Step        `cbor:"2,keyasint"`
 	Rounds   int           `cbor:"3,keyasint,omitempty"` // number of scheduled runs of the steps; 0: one unscheduled run
-	First    int64         `cbor:"4,keyasint,omitempty"` // start time of round 0, in Unix milliseconds
+	FirstDue int64         `cbor:"4,keyasint,omitempty"` // start time of round 0, in Unix milliseconds
 	Interval time.Duration `cbor:"5,keyasint,omitempty"` // between the starts of rounds
 }
 
@@ -84,10 +84,10 @@
 		return &InvalidError{qualified("count"), "must be at least 1"}
 	case !s.Need.Valid():
 		return &InvalidError{qualified("need"), "must not be negative"}
-	case s.Estimate < 0 || s.PerWorker < 0 || s.MayMiss < 0 || s.TargetMS < 0:
+	case s.Estimate < 0 || s.MaxPerWorker < 0 || s.MayMiss < 0 || s.TargetMS < 0:
 		return &InvalidError{qualified("numbers"), "must not be negative"}
 	}
-	for _, dependency := range s.After {
+	for _, dependency := range s.DependsOn {
 		if dependency < 0 || dependency >= index {
 			return &InvalidError{qualified("after"), "must name earlier steps"}
 		}
@@ -98,25 +98,25 @@
 // RoundCount returns the number of rounds, which is at least 1.
 func (r Request) RoundCount() int { return max(1, r.Rounds) }
 
-// Timed reports whether rounds have scheduled start times.
-func (r Request) Timed() bool { return r.Rounds > 0 }
+// Scheduled reports whether rounds have scheduled start times.
+func (r Request) Scheduled() bool { return r.Rounds > 0 }
 
 // Due returns the earliest start time of a round in Unix milliseconds, or 0 if it has none.
 func (r Request) Due(round int) int64 {
-	if !r.Timed() {
+	if !r.Scheduled() {
 		return 0
 	}
-	return r.First + int64(round)*r.Interval.Milliseconds()
+	return r.FirstDue + int64(round)*r.Interval.Milliseconds()
 }
 
-// Chain returns the length of the critical path: the largest sum of estimates along a chain
+// CriticalPath returns the length of the critical path: the largest sum of estimates along a chain
 // of dependent steps. Steps for which done returns true count as zero; done may be nil.
-func (r Request) Chain(done func(step int) bool) time.Duration {
+func (r Request) CriticalPath(done func(step int) bool) time.Duration {
 	longest := time.Duration(0)
 	finish := make([]time.Duration, len(r.Steps))
 	for i, step := range r.Steps {
 		start := time.Duration(0)
-		for _, dependency := range step.After {
+		for _, dependency := range step.DependsOn {
 			start = max(start, finish[dependency])
 		}
 		finish[i] = start
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -73,8 +73,8 @@
 		{"step without tasks", workload.Request{Steps: []workload.Step{{}}}, "step 0: count"},
 		{"too many tasks", workload.Request{Steps: []workload.Step{{Count: 4097}}}, "steps"},
 		{"negative need", workload.Request{Steps: []workload.Step{{Count: 1, Need: resource.Amount{CPU: -1}}}}, "step 0: need"},
-		{"dependency on a later step", workload.Request{Steps: []workload.Step{{Count: 1, After: []int{1}}, good}}, "step 0: after"},
-		{"dependency on a negative index", workload.Request{Steps: []workload.Step{{Count: 1, After: []int{-1}}}}, "step 0: after"},
+		{"dependency on a later step", workload.Request{Steps: []workload.Step{{Count: 1, DependsOn: []int{1}}, good}}, "step 0: after"},
+		{"dependency on a negative index", workload.Request{Steps: []workload.Step{{Count: 1, DependsOn: []int{-1}}}}, "step 0: after"},
 		{"too many rounds", workload.Request{Steps: []workload.Step{good}, Rounds: 1 << 20}, "rounds"},
 		{"negative interval", workload.Request{Steps: []workload.Step{good}, Interval: -1}, "interval"},
 	}
@@ -96,8 +96,8 @@
 	request := workload.Request{Steps: []workload.Step{
 		{Count: 1, Estimate: 2 * time.Second},
 		{Count: 1, Estimate: 5 * time.Second},
-		{Count: 1, Estimate: time.Second, After: []int{0, 1}},
-		{Count: 1, Estimate: 4 * time.Second, After: []int{0}},
+		{Count: 1, Estimate: time.Second, DependsOn: []int{0, 1}},
+		{Count: 1, Estimate: 4 * time.Second, DependsOn: []int{0}},
 	}}
 	cases := []struct {
 		done map[int]bool
@@ -110,18 +110,18 @@
 		{map[int]bool{0: true, 1: true, 2: true, 3: true}, 0},
 	}
 	for _, test := range cases {
-		if got := request.Chain(func(i int) bool { return test.done[i] }); got != test.want {
+		if got := request.CriticalPath(func(i int) bool { return test.done[i] }); got != test.want {
 			t.Errorf("critical path with steps %v done = %v, want %v", test.done, got, test.want)
 		}
 	}
 }
 
 func TestProgressRoundTrip(t *testing.T) {
-	progress := workload.Progress{State: workload.Queued, Begun: true, Steps: []workload.StepProgress{
-		{Step: 0, All: true},
+	progress := workload.Progress{State: workload.Queued, Started: true, Steps: []workload.StepProgress{
+		{Step: 0, AllDone: true},
 		{Step: 1, Done: workload.SetBit(nil, 9), Tasks: []workload.TaskProgress{{
 			Index: 3, Attempt: 2, Failures: 1, Worker: "w", Checkpoint: "c",
-			Crashes: workload.Crashes{Workers: 3, Soon: 1, LastAttempt: 5, Open: []workload.LostWorker{{ID: "v", Early: true}}, Suspect: true},
+			CrashHistory: workload.CrashHistory{WorkerCrashes: 3, EarlyCrashes: 1, LastAttempt: 5, Unresolved: []workload.LostWorker{{ID: "v", Early: true}}, Suspected: true},
 		}}},
 	}}
 	got, err := workload.DecodeProgress("job", progress.Encode())
@@ -140,7 +140,7 @@
 	}{{0, time.Second}, {600 * time.Millisecond, time.Second}, {4 * time.Second, 2 * time.Second}, {time.Minute, 3 * time.Second}}
 	for _, test := range cases {
 		request := workload.Request{Steps: []workload.Step{{Count: 1, Estimate: test.estimate}}}
-		if got := (workload.Queue{Stretch: 2}).RetryAfter(request); got != test.want {
+		if got := (workload.Queue{ObjectiveFactor: 2}).RetryAfter(request); got != test.want {
 			t.Errorf("estimate %v: RetryAfter() = %v, want %v", test.estimate, got, test.want)
 		}
 	}
