--- a/transfer/limit.go
+++ b/transfer/limit.go
@@ -8,21 +8,23 @@
 	"time"
 )
 
-// StalledError says that an exchange was given up because nothing came for too long.
+// StalledError is returned when an exchange was canceled because no data moved within Limit.
 type StalledError struct{ Limit time.Duration }
 
-func (e *StalledError) Error() string { return fmt.Sprintf("nothing came for %v", e.Limit) }
+func (e *StalledError) Error() string {
+	return fmt.Sprintf("transfer stalled: no progress for %v", e.Limit)
+}
 
-// Timeout marks the error as one of time, as net.Error does.
+// Timeout reports true, as net.Error's method does for timeouts.
 func (e *StalledError) Timeout() bool { return true }
 
-// WithStallLimit returns a context for one exchange that ends when nothing has moved for
-// the limit, and goes on for as long as something does: a limit for the whole would make
-// every exchange above some size impossible. Whoever sends the request or reads the answer
-// says so by Progressed, as Sending and Read do; progressed, if given, is called then.
-func WithStallLimit(ctx context.Context, limit time.Duration, progressed func()) (context.Context, context.CancelFunc) {
+// WithStallLimit returns a context for one exchange that is canceled once no progress has
+// been reported for the limit. A deadline for the whole exchange would fail every exchange
+// above some size. Progress is reported by Progressed, which the body returned by Sending and
+// Read call; onProgress, if not nil, is called on each report.
+func WithStallLimit(ctx context.Context, limit time.Duration, onProgress func()) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	w := &watchdog{limit: limit, progressed: progressed}
+	w := &watchdog{limit: limit, onProgress: onProgress}
 	w.timer = time.AfterFunc(limit, func() { cancel(&StalledError{limit}) })
 	return context.WithValue(ctx, watchdogKey{}, w), func() {
 		w.stop()
@@ -30,15 +32,15 @@
 	}
 }
 
-// Progressed notes that something of an exchange has come, or has been sent.
+// Progressed reports that data of the exchange was sent or received. It restarts the stall
+// timer of ctx, if it has one.
 func Progressed(ctx context.Context) {
 	if w, ok := ctx.Value(watchdogKey{}).(*watchdog); ok {
-		w.note()
+		w.recordProgress()
 	}
 }
 
-// Cause returns why an exchange that failed with err was given up: a StalledError if it
-// made no progress, else err.
+// Cause returns the StalledError that canceled the exchange, if one did, and err otherwise.
 func Cause(ctx context.Context, err error) error {
 	var stalled *StalledError
 	if errors.Is(err, context.Canceled) && errors.As(context.Cause(ctx), &stalled) {
@@ -49,24 +51,24 @@
 
 type watchdogKey struct{}
 
-// watchdog ends an exchange that makes no progress.
+// watchdog cancels an exchange that makes no progress within limit.
 type watchdog struct {
 	limit      time.Duration
-	progressed func()
+	onProgress func()
 
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
 }
 
-func (w *watchdog) note() {
+func (w *watchdog) recordProgress() {
 	w.mu.Lock()
 	if !w.stopped {
 		w.timer.Reset(w.limit)
 	}
 	w.mu.Unlock()
-	if w.progressed != nil {
-		w.progressed()
+	if w.onProgress != nil {
+		w.onProgress()
 	}
 }
 
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -1,6 +1,6 @@
-// Package transfer is for exchanges whose size grows with the deployment: the
-// configuration, the members, the rows of a shard. They are bounded by their progress
-// instead of by a time for the whole, and tell how far they had come when they broke off.
+// Package transfer bounds HTTP exchanges whose size grows with the deployment: the
+// configuration, the member list, the rows of a shard. An exchange fails if it stalls, not
+// after a fixed total time, and its error says how much was received.
 package transfer
 
 import (
@@ -12,42 +12,43 @@
 	"time"
 )
 
-// Received is what came of one answer's body.
+// Received is the size of a response body as read, and the time that reading it took.
 type Received struct {
 	Bytes int
-	Took  time.Duration // from the beginning of the body to its end
+	Took  time.Duration
 }
 
-// Plus returns what came of two answers, one after the other.
+// Plus returns the totals of two responses that were read one after the other.
 func (r Received) Plus(other Received) Received {
 	return Received{r.Bytes + other.Bytes, r.Took + other.Took}
 }
 
-// BrokenOffError says that a body ended before it was whole.
+// BrokenOffError is returned when reading a response body failed before its end. Received
+// covers the part that was read.
 type BrokenOffError struct {
 	Received
 	Cause error
 }
 
 func (e *BrokenOffError) Error() string {
-	return fmt.Sprintf("the answer broke off after %d bytes and %v: %v", e.Bytes, e.Took.Round(time.Millisecond), e.Cause)
+	return fmt.Sprintf("response body truncated after %d bytes in %v: %v", e.Bytes, e.Took.Round(time.Millisecond), e.Cause)
 }
 
 func (e *BrokenOffError) Unwrap() error { return e.Cause }
 
-// TooLargeError says that a body is larger than the reader takes.
+// TooLargeError is returned when a response body is longer than Limit bytes.
 type TooLargeError struct{ Limit int64 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("the answer has more than %d bytes", e.Limit)
+	return fmt.Sprintf("response body too large: want at most %d bytes", e.Limit)
 }
 
-// Read reads a body of at most limit bytes to its end, and notes each piece as progress of
-// the exchange that ctx is for.
+// Read reads a body of at most limit bytes to its end and reports each read to the stall
+// timer of ctx. It returns a BrokenOffError or a TooLargeError on failure.
 func Read(ctx context.Context, body io.Reader, limit int64) ([]byte, Received, error) {
-	begun := time.Now()
-	data, err := io.ReadAll(&noting{ctx, io.LimitReader(body, limit+1)})
-	received := Received{len(data), time.Since(begun)}
+	start := time.Now()
+	data, err := io.ReadAll(&progressReader{ctx, io.LimitReader(body, limit+1)})
+	received := Received{len(data), time.Since(start)}
 	switch {
 	case err != nil:
 		return nil, received, &BrokenOffError{received, Cause(ctx, err)}
@@ -57,41 +58,39 @@
 	return data, received, nil
 }
 
-// Sending returns a request's body that notes progress, of the exchange that ctx is for, as
-// it is sent. A small one is sent at once, and copied less.
+// Sending returns a request body for data that reports progress to the stall timer of ctx as
+// it is sent. Bodies of up to maxReadSize bytes report none: one read sends them whole.
 func Sending(ctx context.Context, data []byte) io.ReadCloser {
-	if len(data) <= grain {
+	if len(data) <= maxReadSize {
 		return io.NopCloser(bytes.NewReader(data))
 	}
-	return io.NopCloser(&noting{ctx, bytes.NewReader(data)})
+	return io.NopCloser(&progressReader{ctx, bytes.NewReader(data)})
 }
 
-// grain is how many bytes are read at once at most, so that progress is noted that often. A
-// reader of HTTP's chunks fills all of the buffer that it is given before it returns: on a
-// slow link a large buffer would look like a stall.
-const grain = 16 << 10
+// maxReadSize limits a single read. Readers of chunked HTTP bodies fill the whole buffer
+// before they return, so reading into a large buffer over a slow link would look like a stall.
+const maxReadSize = 16 << 10
 
-// noting is a body that notes progress.
-type noting struct {
+// progressReader reports progress on each read that returns data.
+type progressReader struct {
 	ctx  context.Context
 	body io.Reader
 }
 
-// Read implements io.Reader.
-func (r *noting) Read(data []byte) (int, error) {
-	n, err := r.body.Read(data[:min(len(data), grain)])
+func (r *progressReader) Read(data []byte) (int, error) {
+	n, err := r.body.Read(data[:min(len(data), maxReadSize)])
 	if n > 0 {
 		Progressed(r.ctx)
 	}
 	return n, err
 }
 
-// ReceivedBefore returns what had come of an answer that ended with an error: nothing, if
-// the error does not say so.
+// ReceivedBefore returns how much of a response was read before err, or the zero value if err
+// wraps no BrokenOffError.
 func ReceivedBefore(err error) Received {
-	var broken *BrokenOffError
-	if errors.As(err, &broken) {
-		return broken.Received
+	var truncated *BrokenOffError
+	if errors.As(err, &truncated) {
+		return truncated.Received
 	}
 	return Received{}
 }
--- a/transfer/transfer_test.go
+++ b/transfer/transfer_test.go
@@ -15,35 +15,34 @@
 
 func TestRead(t *testing.T) {
 	const body = "0123456789"
-	cut := errors.New("cut")
-	t.Run("a whole body", func(t *testing.T) {
+	errCut := errors.New("connection cut")
+	t.Run("complete body", func(t *testing.T) {
 		data, received, err := transfer.Read(t.Context(), strings.NewReader(body), int64(len(body)))
 		if err != nil || string(data) != body || received.Bytes != len(body) {
-			t.Errorf("%q, %d bytes, %v", data, received.Bytes, err)
+			t.Errorf("got %q, %d bytes, error %v; want %q without error", data, received.Bytes, err, body)
 		}
 	})
-	t.Run("one byte too many", func(t *testing.T) {
+	t.Run("one byte over the limit", func(t *testing.T) {
 		var large *transfer.TooLargeError
 		if _, _, err := transfer.Read(t.Context(), strings.NewReader(body), int64(len(body)-1)); !errors.As(err, &large) {
 			t.Errorf("got %v, want TooLargeError", err)
 		}
 	})
-	t.Run("a body that breaks off", func(t *testing.T) {
-		broken := io.MultiReader(strings.NewReader(body), iotest.ErrReader(cut))
+	t.Run("truncated body", func(t *testing.T) {
+		broken := io.MultiReader(strings.NewReader(body), iotest.ErrReader(errCut))
 		_, _, err := transfer.Read(t.Context(), broken, 1<<10)
-		if !errors.Is(err, cut) || transfer.ReceivedBefore(err).Bytes != len(body) {
-			t.Errorf("%v after %d bytes", err, transfer.ReceivedBefore(err).Bytes)
+		if !errors.Is(err, errCut) || transfer.ReceivedBefore(err).Bytes != len(body) {
+			t.Errorf("got %v after %d bytes, want %v after %d", err, transfer.ReceivedBefore(err).Bytes, errCut, len(body))
 		}
 	})
 }
 
-// slowBody yields a byte after each pause.
+// slowBody returns one byte after each pause.
 type slowBody struct {
 	ctx    context.Context
 	pauses []time.Duration
 }
 
-// Read implements io.Reader.
 func (b *slowBody) Read(data []byte) (int, error) {
 	if len(b.pauses) == 0 {
 		return 0, io.EOF
@@ -57,27 +56,27 @@
 	return copy(data, "x"), nil
 }
 
-func TestAnExchangeIsBoundedByItsProgress(t *testing.T) {
+func TestStallLimit(t *testing.T) {
 	const limit = time.Second
 	cases := []struct {
 		name   string
 		pauses []time.Duration
-		bytes  int // that come before it is given up; -1: all come
+		bytes  int // received before the stall; -1: the body is read to its end
 	}{
-		{"a long one that goes on", []time.Duration{limit / 2, limit - 1, limit / 2, limit - 1, limit - 1}, -1},
-		{"nothing comes", []time.Duration{limit + 1}, 0},
-		{"it stops in the middle", []time.Duration{limit / 2, limit / 2, time.Hour}, 2},
+		{"slow but progressing", []time.Duration{limit / 2, limit - 1, limit / 2, limit - 1, limit - 1}, -1},
+		{"no data", []time.Duration{limit + 1}, 0},
+		{"stall within the body", []time.Duration{limit / 2, limit / 2, time.Hour}, 2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				notes := 0
-				ctx, cancel := transfer.WithStallLimit(t.Context(), limit, func() { notes++ })
+				progressCalls := 0
+				ctx, cancel := transfer.WithStallLimit(t.Context(), limit, func() { progressCalls++ })
 				defer cancel()
 				data, _, err := transfer.Read(ctx, &slowBody{ctx, test.pauses}, 1<<10)
 				if test.bytes < 0 {
-					if err != nil || len(data) != len(test.pauses) || notes != len(data) {
-						t.Errorf("%d bytes, %d notes, %v", len(data), notes, err)
+					if err != nil || len(data) != len(test.pauses) || progressCalls != len(data) {
+						t.Errorf("got %d bytes, %d progress calls, error %v; want %d of each without error", len(data), progressCalls, err, len(test.pauses))
 					}
 					return
 				}
@@ -90,7 +89,7 @@
 	}
 }
 
-func TestAnEndedExchangeIsNotWatched(t *testing.T) {
+func TestCancelStopsStallTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := transfer.WithStallLimit(t.Context(), time.Second, nil)
 		cancel()
@@ -98,20 +97,20 @@
 		time.Sleep(time.Minute)
 		var stalled *transfer.StalledError
 		if errors.As(context.Cause(ctx), &stalled) {
-			t.Error("an exchange that had ended was given up for a stall")
+			t.Error("exchange failed with StalledError after it had been canceled")
 		}
 	})
 }
 
-// greedyBody fills every buffer to its end, as a reader of HTTP's chunks does, at a rate.
-type greedyBody struct {
+// fullBufferBody fills every buffer before Read returns, at a fixed rate, as a reader of
+// chunked HTTP bodies does.
+type fullBufferBody struct {
 	ctx  context.Context
 	left int
-	rate int // bytes a second
+	rate int // bytes per second
 }
 
-// Read implements io.Reader.
-func (b *greedyBody) Read(data []byte) (int, error) {
+func (b *fullBufferBody) Read(data []byte) (int, error) {
 	if b.left == 0 {
 		return 0, io.EOF
 	}
@@ -125,14 +124,16 @@
 	return n, nil
 }
 
-func TestALargeBufferIsNoStall(t *testing.T) {
+// A body whose reader fills whole buffers must not stall because a single read takes longer
+// than the limit.
+func TestReadFullBuffersWithinStallLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, rate = 1_000_000, 50_000
 		ctx, cancel := transfer.WithStallLimit(t.Context(), time.Second, nil)
 		defer cancel()
-		data, _, err := transfer.Read(ctx, &greedyBody{ctx, size, rate}, 2*size)
+		data, _, err := transfer.Read(ctx, &fullBufferBody{ctx, size, rate}, 2*size)
 		if err != nil || len(data) != size {
-			t.Errorf("%d bytes, %v", len(data), err)
+			t.Errorf("got %d bytes, error %v; want %d without error", len(data), err, size)
 		}
 	})
 }
