--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet names the workers that run tasks and the service that says which
-// of them may run a step, as the scheduler sees them. Package platform adapts
-// the users' workers to it.
+// Package fleet defines the scheduler's interfaces to the workers that run tasks and to the
+// advice service, which decides which workers may run a step. Package platform implements
+// them over HTTP.
 package fleet
 
 import (
@@ -13,22 +13,22 @@
 	"chutereach/resource"
 )
 
-// Life names one life of a worker: from a start of its process to the end of that process.
-// A worker that starts again may keep its id. It knows nothing of before then, and its clock
-// and the numbers of its ends begin anew.
+// Life identifies one incarnation of a worker: one run of its process. A restarted worker may
+// keep its id, but it has no state of the former incarnation, and its clock and the sequence
+// numbers of its ended attempts start over.
 type Life struct {
 	ID string
-	// Born is when the life began, in Unix milliseconds of the worker's machine. It only tells
-	// lives apart: the time of day can step back. 0: not known.
+	// Born is the start time of the process in Unix milliseconds, by the wall clock of the
+	// worker's machine. That clock can step back: compare for equality only. 0: unknown.
 	Born int64
 }
 
-// Known reports whether it is known when the life began.
+// Known reports whether the start time of the process is known.
 func (l Life) Known() bool { return l.Born != 0 }
 
 func (l Life) String() string { return fmt.Sprintf("%s since %d", l.ID, l.Born) }
 
-// Worker is one life of a machine that runs tasks.
+// Worker describes one incarnation of a machine that runs tasks.
 type Worker struct {
 	Life
 	Service  string // the pool it belongs to
@@ -38,19 +38,18 @@
 	Labels   []string
 	Capacity resource.Amount
 	Draining bool
-	// Remaining is how long a draining worker stays, at least.
+	// Remaining is the minimum time until a draining worker shuts down.
 	Remaining time.Duration
 }
 
-// Equal reports whether both say the same of the same life.
+// Equal reports whether both describe the same incarnation and all fields are equal.
 func (w Worker) Equal(other Worker) bool {
 	return w.Life == other.Life && w.Service == other.Service && w.Address == other.Address && w.Zone == other.Zone &&
 		w.Rack == other.Rack && slices.Equal(w.Labels, other.Labels) && w.Capacity == other.Capacity &&
 		w.Draining == other.Draining && w.Remaining == other.Remaining
 }
 
-// HasLabel reports whether the worker bears a label; every worker bears the
-// empty one.
+// HasLabel reports whether the worker has the label. Every worker has the empty label.
 func (w Worker) HasLabel(label string) bool {
 	if label == "" {
 		return true
@@ -63,23 +62,23 @@
 	return false
 }
 
-// Clock is a worker's steady clock in milliseconds.
+// Clock is a reading of a worker's monotonic clock in milliseconds.
 type Clock int64
 
-// Outcome is how an attempt ended.
+// Outcome is reported by workers for each ended attempt.
 type Outcome string
 
-// The outcomes of attempts.
+// Outcomes of attempts.
 const (
 	Done    Outcome = "done"
 	Failed  Outcome = "failed"
 	Stopped Outcome = "stopped"
-	Lapsed  Outcome = "lapsed" // its lease ran out
-	Broken  Outcome = "broken" // another member of its gang ended
-	Alone   Outcome = "alone"  // the other members of its gang did not come in time
+	Lapsed  Outcome = "lapsed" // its lease expired
+	Broken  Outcome = "broken" // another member of its gang ended first
+	Alone   Outcome = "alone"  // the other members of its gang did not start in time
 )
 
-// Attempt is an attempt that a worker runs.
+// Attempt is a running attempt in a worker's report.
 type Attempt struct {
 	Task       string
 	Number     int
@@ -87,7 +86,8 @@
 	Percent    int
 }
 
-// End is an attempt that has ended. Sequence begins at 1 in each life and rises.
+// End is an ended attempt in a worker's report. Sequence starts at 1 in each incarnation and
+// increases.
 type End struct {
 	Sequence   uint64
 	Task       string
@@ -96,19 +96,19 @@
 	Checkpoint string
 }
 
-// Report is what a worker says of itself.
+// Report is a worker's answer to a HoldOrder.
 type Report struct {
-	Born    int64 // when the life that answers began; 0: it does not say
+	Born    int64 // start time of the incarnation that answered, as in Life; 0: not reported
 	Clock   Clock
 	Running []Attempt
 	Ended   []End
-	// Unread counts the rows that could not be read. Ends from UnreadFrom on, if it is not 0, are
-	// not to be acknowledged, for one of them is not known.
+	// Unread is the number of rows that could not be decoded. If UnreadFrom is not 0, an ended
+	// attempt could not be decoded: those from that sequence number on must not be acknowledged.
 	Unread     int
 	UnreadFrom uint64
 }
 
-// StartOrder asks for an attempt. It is void after Deadline.
+// StartOrder asks a worker to start an attempt. Workers refuse it after Deadline.
 type StartOrder struct {
 	Task       string
 	Number     int
@@ -119,111 +119,113 @@
 	Deadline   Clock
 }
 
-// StopOrder ends an attempt, and keeps one that has not arrived from starting.
+// StopOrder asks a worker to stop an attempt, or to refuse it if its StartOrder arrives later.
 type StopOrder struct {
 	Task   string
 	Number int
-	Token  uint64
+	Token  uint64 // fencing token
 }
 
-// HoldOrder extends the lease of everything on a worker to Deadline and asks
-// for a report, at the next end or after Wait. Ends up to Noted are forgotten; Noted is
-// for the life that is meant.
+// HoldOrder renews the lease of all attempts on a worker to Deadline and asks for a report, to
+// be sent when an attempt ends or after Wait. It acknowledges the ended attempts up to sequence
+// number Noted of the incarnation that it is addressed to; the worker stops reporting them.
 type HoldOrder struct {
-	Token    uint64
+	Token    uint64 // fencing token
 	Noted    uint64
-	Deadline Clock // 0 extends nothing
+	Deadline Clock // 0: the lease is not renewed
 	Wait     time.Duration
 }
 
-// Client calls workers. Errors are RefusedError, ReplacedError, BusyError and
-// UnansweredError. A worker's id is all that a call can name on its way. So a client makes an order
-// only where the life that is meant has answered before, and lets Noted, which has a life forget
-// ends, reach no other. A call without answer may be carried out late, by a later life too.
+// Client calls workers. Its errors are RefusedError, ReplacedError, BusyError and
+// UnansweredError. Requests carry a worker's id but not its incarnation. A client therefore
+// sends Start and Stop only over a connection on which the addressed incarnation has answered,
+// and sends Noted to no other incarnation. A call without a response may still be executed
+// later, even by a later incarnation.
 type Client interface {
 	Start(ctx context.Context, worker Worker, order StartOrder) (Clock, error)
 	Stop(ctx context.Context, worker Worker, order StopOrder) (Clock, error)
 	Hold(ctx context.Context, worker Worker, order HoldOrder) (Report, error)
 }
 
-// Reason is why a worker refused an order.
+// Reason is a worker's reason for refusing an order.
 type Reason string
 
-// The reasons of refusals.
+// Reasons for refusing an order.
 const (
-	Fenced   Reason = "fence"  // it has seen a higher token
-	Outdated Reason = "old"    // the attempt is not above one that ended there
-	Late     Reason = "late"   // past the order's deadline
-	NoRoom   Reason = "room"   // it has not the capacity
+	Fenced   Reason = "fence"  // the worker has seen a higher fencing token
+	Outdated Reason = "old"    // an attempt with this number or a higher one has ended there
+	Late     Reason = "late"   // the order's deadline has passed
+	NoRoom   Reason = "room"   // insufficient free capacity
 	NoTicket Reason = "ticket" // the ticket is missing or has expired
 	Invalid  Reason = "invalid"
 )
 
-// RefusedError says that a worker did not do what it was asked.
+// RefusedError is returned when a worker refused an order and did not execute it.
 type RefusedError struct {
 	Reason Reason
 	Clock  Clock
 }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("the worker refused: %s", e.Reason) }
+func (e *RefusedError) Error() string { return fmt.Sprintf("worker refused the order: %s", e.Reason) }
 
-// ReplacedError says that another life of the worker answered: the one that was
-// meant is over, and all that it ran.
+// ReplacedError is returned when another worker process answered at the worker's address. The
+// addressed incarnation has ended, and so have all of its attempts.
 type ReplacedError struct{ ID string }
 
-func (e *ReplacedError) Error() string { return fmt.Sprintf("worker %s is over", e.ID) }
+func (e *ReplacedError) Error() string {
+	return fmt.Sprintf("worker %s has been replaced: another process answers at its address", e.ID)
+}
 
-// BusyError says that an unhealthy worker refused for now and did nothing.
+// BusyError is returned when a worker is temporarily unavailable and did not execute the call.
 type BusyError struct{ ID string }
 
-func (e *BusyError) Error() string { return fmt.Sprintf("worker %s refuses for now", e.ID) }
+func (e *BusyError) Error() string { return fmt.Sprintf("worker %s is temporarily unavailable", e.ID) }
 
-// UnansweredError says that a call had no answer; it may have been done, or may
-// be done later.
+// UnansweredError is returned when a call got no valid response. Unless Unsent is set, the
+// worker may have executed it, or may still do so.
 type UnansweredError struct {
 	Cause error
-	// Unsent is whether the call never reached the worker, for certain.
+	// Unsent is set if the call certainly did not reach the worker.
 	Unsent bool
-	// Closed is whether the worker's side closed or refused the connection, as it does
-	// when the worker's process has ended.
+	// Closed is set if the worker's machine closed or refused the connection, as it does when
+	// the worker's process has ended.
 	Closed bool
 }
 
-// IsUnsent reports whether a call failed without having reached the worker.
+// IsUnsent reports whether err says that the call certainly did not reach the worker.
 func IsUnsent(err error) bool {
 	var unanswered *UnansweredError
 	return errors.As(err, &unanswered) && unanswered.Unsent
 }
 
-// IsClosed reports whether a call failed for a connection that the worker's side closed or
-// refused.
+// IsClosed reports whether err says that the worker's machine closed or refused the connection.
 func IsClosed(err error) bool {
 	var unanswered *UnansweredError
 	return errors.As(err, &unanswered) && unanswered.Closed
 }
 
 func (e *UnansweredError) Error() string {
-	return fmt.Sprintf("the worker did not answer: %v", e.Cause)
+	return fmt.Sprintf("no valid response from worker: %v", e.Cause)
 }
 
 func (e *UnansweredError) Unwrap() error { return e.Cause }
 
-// Advice says which workers may run a step: a ticket for each of them, good for
-// Valid from the answer on. Workers that were asked about and are not named may
-// not run the step, ever.
+// Advice lists the workers that may run a step, with a ticket for each. Tickets are valid for
+// Valid from the time of the response. Workers that the request named and Tickets does not may
+// never run the step.
 type Advice struct {
 	Tickets map[string]string
 	Valid   time.Duration
 }
 
-// Advisor gives advice; it takes one call at a time from each node.
+// Advisor calls the advice service, which accepts one call at a time from each node.
 type Advisor interface {
 	Advise(ctx context.Context, step string, workers []string) (Advice, error)
 }
 
-// AdvisorError says that there was no advice.
+// AdvisorError is returned when a call to the advice service failed.
 type AdvisorError struct{ Cause error }
 
-func (e *AdvisorError) Error() string { return fmt.Sprintf("no advice: %v", e.Cause) }
+func (e *AdvisorError) Error() string { return fmt.Sprintf("advice service failed: %v", e.Cause) }
 
 func (e *AdvisorError) Unwrap() error { return e.Cause }
