--- a/fleet/fleettest/capacity.go
+++ b/fleet/fleettest/capacity.go
@@ -6,40 +6,38 @@
 	"chutereach/resource"
 )
 
-// resizeGrace is how long after a worker has shrunk starts may still rest on what it had
-// before, unless a test says otherwise: two of the looks at discovery that tests make each
-// 500 ms.
+// resizeGrace is the default grace of SetResizeGrace: two intervals at which tests poll discovery.
 const resizeGrace = time.Second
 
-// SetResizeGrace sets how long after a worker has shrunk starts may still rest on what it had
-// before.
+// SetResizeGrace sets how long after a Resize starts may still rely on the former capacity, and
+// how long after a SetQuota on the former quota.
 func (f *Fleet) SetResizeGrace(grace time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.grace = grace
 }
 
-// Resize gives a worker another capacity while it runs.
+// Resize changes the capacity of a running worker.
 func (f *Fleet) Resize(id string, capacity resource.Amount) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	w.former = append(w.former, formerCapacity{w.info.Capacity, time.Now()})
+	w.formerCapacities = append(w.formerCapacities, formerCapacity{w.info.Capacity, time.Now()})
 	w.info.Capacity = capacity
 }
 
-// formerCapacity is what a worker had until it was resized.
+// formerCapacity is a worker's capacity before a Resize.
 type formerCapacity struct {
 	amount resource.Amount
 	until  time.Time
 }
 
-// holds reports whether the worker has room for what runs there, or had a moment ago.
-func (w *worker) holds(used resource.Amount, grace time.Duration) bool {
+// fits reports whether used fits the worker's capacity, or a former one within the grace.
+func (w *worker) fits(used resource.Amount, grace time.Duration) bool {
 	if used.Fits(w.info.Capacity) {
 		return true
 	}
-	for _, former := range w.former {
+	for _, former := range w.formerCapacities {
 		if time.Since(former.until) <= grace && used.Fits(former.amount) {
 			return true
 		}
--- a/fleet/fleettest/crash.go
+++ b/fleet/fleettest/crash.go
@@ -10,57 +10,57 @@
 )
 
 const (
-	// RestartTime is how long the process of a worker that has crashed is away, and
-	// listedFor how long discovery goes on naming the life that is over: three heartbeats.
+	// RestartTime is the time from the crash of a worker to the start of the next incarnation
+	// at its address.
 	RestartTime = 3200 * time.Millisecond
-	listedFor   = 3 * time.Second
-	// mostCrashes is how many workers may crash under a task before its starts are
-	// counted, and mostRetries how many more starts it may then have.
-	mostCrashes = 3
-	mostRetries = 2
+	// entryTTL is how long discovery lists a worker after its process has ended.
+	entryTTL = 3 * time.Second
+	// A task that has crashed maxCrashes workers may be started maxRetries more times.
+	maxCrashes = 3
+	maxRetries = 2
 )
 
-// crashes is what the judge has seen of a task that crashes its workers.
-type crashes struct {
+// crashRecord counts the crashes caused by a task.
+type crashRecord struct {
 	workers int
-	starts  int // after mostCrashes
+	starts  int // after maxCrashes crashes
 }
 
-// crashUnder ends the process of the worker on which a task has just run to the end of its
-// plan.
-func (f *Fleet) crashUnder(w *worker, task workload.TaskID) {
+// crashWorker records that a task has crashed its worker, and restarts the worker.
+func (f *Fleet) crashWorker(w *worker, task workload.TaskID) {
 	name := task.String()
 	if f.crashes[name] == nil {
-		f.crashes[name] = new(crashes)
+		f.crashes[name] = new(crashRecord)
 	}
 	f.crashes[name].workers++
-	if f.crashAway > 0 {
-		f.startAgain(w, f.crashAway)
+	if f.sameIDRestartDelay > 0 {
+		f.restartSameID(w, f.sameIDRestartDelay)
 		return
 	}
 	f.restart(w)
 }
 
-// SetStartAgain has workers that tasks crash start again under their ids after a pause.
+// SetStartAgain makes workers that are crashed by tasks restart under the same id after a
+// pause. By default they restart under a new id.
 func (f *Fleet) SetStartAgain(pause time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crashAway = pause
+	f.sameIDRestartDelay = pause
 }
 
-// judgeCrashes looks at a start of a task that may have crashed workers.
-func (f *Fleet) judgeCrashes(task workload.TaskID) {
+// checkCrashes records a violation if a task is started too often after crashing workers.
+func (f *Fleet) checkCrashes(task workload.TaskID) {
 	c := f.crashes[task.String()]
-	if c == nil || c.workers < mostCrashes {
+	if c == nil || c.workers < maxCrashes {
 		return
 	}
-	if c.starts++; c.starts == mostRetries+1 { // said once
-		f.breaks("%s was started %d times after %d workers had crashed under it", task, c.starts, mostCrashes)
+	if c.starts++; c.starts == maxRetries+1 { // recorded once per task
+		f.violation("%s was started %d times after it had crashed %d workers", task, c.starts, maxCrashes)
 	}
 }
 
-// Restart ends the process of a worker, as a crash does. Its connections break at once, and
-// another life takes its address after RestartTime.
+// Restart ends a worker like a crash of its process: its connections break at once, and an
+// incarnation with another id starts at its address after RestartTime.
 func (f *Fleet) Restart(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,120 +68,120 @@
 }
 
 func (f *Fleet) restart(w *worker) {
-	w.closed = true
-	f.die(w)
-	f.lives++
-	f.news.Ended(w.info.ID)
+	w.refusesConnections = true
+	f.terminate(w)
+	f.restarts++
+	f.observer.Ended(w.info.ID)
 	next := w.info
-	next.ID = fmt.Sprintf("%s-life-%d", baseOf(w), f.lives)
-	news := f.news
-	time.AfterFunc(listedFor, func() {
+	next.ID = fmt.Sprintf("%s-life-%d", firstID(w), f.restarts)
+	observer := f.observer
+	time.AfterFunc(entryTTL, func() {
 		f.Drop(w.info.ID)
-		news.Gone(w.info.ID)
+		observer.Gone(w.info.ID)
 	})
 	time.AfterFunc(RestartTime, func() {
-		f.add(next, baseOf(w))
+		f.addAtAddress(next, firstID(w))
 		f.mu.Lock()
 		w.replaced = true
 		f.mu.Unlock()
-		news.Born(w.info.ID, next)
+		observer.Born(w.info.ID, next)
 	})
 }
 
-// StartAgain ends the process of a worker, as a crash does, and starts it again under its id
-// after a pause. Discovery names the former life until the next one begins.
+// StartAgain ends a worker like a crash of its process and restarts it under the same id after
+// a pause. Discovery lists the former incarnation until then.
 func (f *Fleet) StartAgain(id string, pause time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.workers[id]; !w.dead {
-		f.startAgain(w, pause)
+		f.restartSameID(w, pause)
 	}
 }
 
-func (f *Fleet) startAgain(w *worker, pause time.Duration) {
+func (f *Fleet) restartSameID(w *worker, pause time.Duration) {
 	id := w.info.ID
-	w.closed = true
-	f.die(w)
-	for _, end := range w.ended { // they are listed no more, and have been all the same
-		f.well[end.Task] = f.well[end.Task] || end.Outcome == fleet.Done
+	w.refusesConnections = true
+	f.terminate(w)
+	for _, end := range w.ended { // the next incarnation does not report them
+		f.succeeded[end.Task] = f.succeeded[end.Task] || end.Outcome == fleet.Done
 	}
-	f.lives++
-	f.news.Ended(id)
-	news := f.news
+	f.restarts++
+	f.observer.Ended(id)
+	observer := f.observer
 	time.AfterFunc(pause, func() {
 		f.mu.Lock()
-		next := w.info // it may have been resized meanwhile
-		next.Born = f.bornNow(w)
+		next := w.info // includes a Resize during the pause
+		next.Born = f.nextStartTime(w)
 		next.Draining = false
-		f.addLife(next)
-		f.workers[id].base = w.base
+		f.addIncarnation(next)
+		f.workers[id].firstID = w.firstID
 		f.mu.Unlock()
-		news.Born(id, next)
+		observer.Born(id, next)
 	})
 }
 
-// bornNow returns when a life that begins now says it was born: not when the former one was.
-// A worker that never told does not tell now.
-func (f *Fleet) bornNow(former *worker) int64 {
+// nextStartTime returns the Born of an incarnation that starts now. It differs from that of the
+// former one, and is 0 if the former one had none.
+func (f *Fleet) nextStartTime(former *worker) int64 {
 	born := former.info.Born
 	if born == 0 {
 		return 0
 	}
-	now := time.Now().Add(f.timeOfDay).UnixMilli()
+	now := time.Now().Add(f.wallClockOffset).UnixMilli()
 	if now == born {
 		now++
 	}
 	return now
 }
 
-// StepTimeOfDay moves the time of day of all workers, by which they tell when they were born.
+// StepTimeOfDay steps the wall clock of all workers, which Born is taken from.
 func (f *Fleet) StepTimeOfDay(by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.timeOfDay += by
+	f.wallClockOffset += by
 }
 
-// News is told of lives that end and begin, by a stand-in of discovery beside the fleet's
-// own List.
+// News receives the starts and ends of worker processes, for a discovery service other than
+// Fleet.List.
 type News interface {
-	// Ended is called when a worker's process has ended and its connections with it.
+	// Ended is called when a worker's process has ended and its connections are closed.
 	Ended(id string)
-	// Gone is called when the entry of a life that has ended lapses.
+	// Gone is called when the entry of a worker that has ended expires.
 	Gone(id string)
-	// Born is called when another life has taken the address of a former one.
+	// Born is called when another incarnation has started at the address of a former one.
 	Born(former string, next fleet.Worker)
 }
 
-type noNews struct{}
+type noopObserver struct{}
 
-func (noNews) Ended(string)              {}
-func (noNews) Gone(string)               {}
-func (noNews) Born(string, fleet.Worker) {}
+func (noopObserver) Ended(string)              {}
+func (noopObserver) Gone(string)               {}
+func (noopObserver) Born(string, fleet.Worker) {}
 
-// Tell has lives that end and begin told to news.
-func (f *Fleet) Tell(news News) {
+// Tell makes the fleet report starts and ends of worker processes to observer.
+func (f *Fleet) Tell(observer News) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.news = news
+	f.observer = observer
 }
 
-// placeOf returns the name of the first life at the address of a worker.
-func (f *Fleet) placeOf(id string) string {
+// firstIDOf returns the id of the first incarnation at the address of a worker.
+func (f *Fleet) firstIDOf(id string) string {
 	if w := f.workers[id]; w != nil {
-		return baseOf(w)
+		return firstID(w)
 	}
 	return id
 }
 
-// baseOf returns the name of the first life at a worker's address.
-func baseOf(w *worker) string {
-	if w.base != "" {
-		return w.base
+// firstID returns the id of the first incarnation at a worker's address.
+func firstID(w *worker) string {
+	if w.firstID != "" {
+		return w.firstID
 	}
 	return w.info.ID
 }
 
-// Crashed returns how many workers a task has crashed.
+// Crashed returns the number of workers that a task has crashed.
 func (f *Fleet) Crashed(task string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,13 +191,13 @@
 	return 0
 }
 
-// EndedUnder returns how many workers have ended under a task of a job: under the one with
-// the most.
+// EndedUnder returns the number of workers that ended while they ran the same task of a job,
+// for the task with the most.
 func (f *Fleet) EndedUnder(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	most := 0
-	for name, count := range f.under {
+	for name, count := range f.workersLost {
 		if strings.HasPrefix(name, job+".") {
 			most = max(most, count)
 		}
@@ -205,22 +205,22 @@
 	return most
 }
 
-// Lives returns how many processes of workers have ended and were started again.
+// Lives returns the number of worker processes that ended and were, or will be, started again.
 func (f *Fleet) Lives() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lives
+	return f.restarts
 }
 
-// add adds a worker at the address of an earlier life.
-func (f *Fleet) add(info fleet.Worker, base string) {
+// addAtAddress adds a worker at the address whose first incarnation is firstID.
+func (f *Fleet) addAtAddress(info fleet.Worker, firstID string) {
 	f.Add(info)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[info.ID].base = base
+	f.workers[info.ID].firstID = firstID
 }
 
-// Alive reports whether a worker's process runs.
+// Alive reports whether a worker's process is running.
 func (f *Fleet) Alive(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,9 +228,9 @@
 	return w != nil && !w.dead
 }
 
-// PlanOf returns the plan of a job that the judge knows.
+// PlanOf returns the plan of a job that was registered with Know.
 func (f *Fleet) PlanOf(job string) func(workload.TaskID, int) Plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.kinds[job].Plan
+	return f.jobs[job].Plan
 }
--- a/fleet/fleettest/evacuation.go
+++ b/fleet/fleettest/evacuation.go
@@ -6,28 +6,28 @@
 	"chutereach/workload"
 )
 
-// Evacuate has no attempt begin in a data hall from a time after now on, until Readmit. Orders that
-// are carried out late are nobody's promise.
+// Evacuate forbids starts in a data hall once within has passed, until Readmit. Orders that were
+// delayed by Fault.Late are exempt.
 func (f *Fleet) Evacuate(hall string, within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closed[hall] = time.Now().Add(within)
+	f.closedHalls[hall] = time.Now().Add(within)
 }
 
-// Readmit ends an evacuation.
+// Readmit ends the evacuation of a data hall.
 func (f *Fleet) Readmit(hall string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.closed, hall)
+	delete(f.closedHalls, hall)
 }
 
-// judgeHall looks at an attempt that begins in a data hall.
-func (f *Fleet) judgeHall(w *worker, task workload.TaskID) {
-	closed, evacuated := f.closed[w.info.Zone]
-	if !evacuated || f.late {
+// checkHall records a violation if an attempt starts after the evacuation deadline of its hall.
+func (f *Fleet) checkHall(w *worker, task workload.TaskID) {
+	deadline, evacuated := f.closedHalls[w.info.Zone]
+	if !evacuated || f.delayed {
 		return
 	}
-	if late := time.Since(closed); late > 0 {
-		f.breaks("%s was started on %s, %v after the bound of the evacuation of %s", task, w.info.ID, late, w.info.Zone)
+	if late := time.Since(deadline); late > 0 {
+		f.violation("%s was started on %s, %v after the evacuation deadline of %s", task, w.info.ID, late, w.info.Zone)
 	}
 }
--- a/fleet/fleettest/fleettest.go
+++ b/fleet/fleettest/fleettest.go
@@ -1,7 +1,6 @@
-// Package fleettest keeps workers and an advice service in memory, for tests.
-// The workers do what package fleet says of workers, by the clock of the test,
-// and a judge looks at every attempt that begins: it records each promise that a
-// scheduler breaks.
+// Package fleettest provides an in-memory fleet of workers with an advice service for tests.
+// The workers behave as package fleet specifies, on the clock of the test. Every attempt that
+// starts is checked against the scheduler's guarantees; Fleet records the violations.
 package fleettest
 
 import (
@@ -15,35 +14,34 @@
 	"chutereach/workload"
 )
 
-// Plan is how an attempt goes.
+// Plan is the course of an attempt.
 type Plan struct {
 	Work    time.Duration
 	Outcome fleet.Outcome // Done if empty
-	Hangs   bool
-	Crashes bool // the worker's process ends with the attempt, and is back after RestartTime
+	Hangs   bool          // runs until it is stopped or its lease expires
+	Crashes bool          // the worker's process crashes when Work is done; see SetStartAgain
 }
 
-// Kind is what the judge knows of the tasks of a step.
+// Kind describes the tasks of a job.
 type Kind struct {
 	Request  workload.Request
-	Attempts int
-	Advised  bool   // a ticket is needed
-	Account  string // whose the tasks are
+	Attempts int    // limit on failed attempts of a task
+	Advised  bool   // starts need a ticket from Advise
+	Account  string // the client account that the job belongs to
 	Plan     func(task workload.TaskID, attempt int) Plan
 }
 
-// Fault is what happens to a call to a worker.
+// Fault is a fault injected into a call to a worker.
 type Fault struct {
-	Lost bool          // it is not carried out, and there is no answer
-	Mute bool          // it is carried out, and there is no answer
-	Late time.Duration // it is carried out this much later, and there is no answer
-	Busy bool          // it is refused for now
+	Lost bool          // the request is lost
+	Mute bool          // the call is executed and the response is lost
+	Late time.Duration // the call is executed after this delay and the response is lost
+	Busy bool          // the worker is temporarily unavailable
 }
 
-// Call names a kind of call.
+// Call names a method of fleet.Client.
 type Call string
 
-// The kinds of calls.
 const (
 	CallStart Call = "start"
 	CallStop  Call = "stop"
@@ -51,192 +49,196 @@
 )
 
 const (
-	latency     = time.Millisecond
-	stopWithin  = 100 * time.Millisecond
-	gangTimeout = 3 * time.Second
-	saveEvery   = 500 * time.Millisecond
-	// MostLease is the longest lease that a worker gives.
+	latency            = time.Millisecond
+	stopDelay          = 100 * time.Millisecond
+	gangTimeout        = 3 * time.Second
+	checkpointInterval = 500 * time.Millisecond
+	// MostLease is the longest lease that a worker grants.
 	MostLease = 6 * time.Second
 )
 
-// Fleet is a set of workers.
+// Fleet is a set of workers. It implements fleet.Client and fleet.Advisor.
 type Fleet struct {
-	mu      sync.Mutex
-	workers map[string]*worker
-	kinds   map[string]Kind // by job
-	dones   map[string]bool // tasks with an end done that was noted and binds, by name
-	well    map[string]bool // tasks with an end done that was noted, by name
-	failed  map[string]int  // noted failures
-	crashes map[string]*crashes
-	under   map[string]int // workers that ended while a task ran there
-	gangs   map[string]*gang
-	tickets map[string]ticket
-	broken  []string
-	starts  int
-	alone   int // members of gangs that waited for the others in vain
-	lives   int // that have ended and were started again
-	news    News
-	grace   time.Duration // see SetResizeGrace
-	advice  int
-	fault   func(call Call, worker string) Fault
-	sick    map[string]Plan // how every attempt goes on a worker
-	refused map[fleet.Reason]int
-	begun   map[string]bool // jobs of which a task was started
-	quotas  map[string][]quotaInForce
-	most    map[string]resource.Amount // that each account has had running
-
-	unlisted  bool // discovery names nobody
-	entries   map[string]func(fleet.Worker) fleet.Worker
-	crashAway time.Duration        // see SetStartAgain
-	timeOfDay time.Duration        // by which the workers' time of day has stepped
-	stray     bool                 // the order at hand is carried out by a later life than was meant
-	late      bool                 // the order at hand is carried out late
-	closed    map[string]time.Time // from when on nothing may begin in a data hall
+	mu               sync.Mutex
+	workers          map[string]*worker
+	jobs             map[string]Kind // by job id
+	acknowledgedDone map[string]bool // tasks acknowledged as done, which must not be started again
+	succeeded        map[string]bool // tasks with a completed attempt that workers no longer report
+	failures         map[string]int  // acknowledged failed attempts by task
+	crashes          map[string]*crashRecord
+	workersLost      map[string]int // workers that ended while they ran a task, by task
+	gangs            map[string]*gang
+	tickets          map[string]ticket
+	violations       []string
+	starts           int
+	gangTimeouts     int // gang members that ended because the others did not start in time
+	restarts         int // worker processes that ended and were started again
+	observer         News
+	grace            time.Duration // see SetResizeGrace
+	adviceCalls      int
+	fault            func(call Call, worker string) Fault
+	planOverrides    map[string]Plan // by worker; they replace the plans of the jobs
+	refused          map[fleet.Reason]int
+	startedJobs      map[string]bool // jobs with a task that was started
+	quotas           map[string][]quotaPeriod
+	peakUsage        map[string]resource.Amount // by account, of each resource
+
+	discoveryEmpty     bool // discovery lists no worker
+	entryOverrides     map[string]func(fleet.Worker) fleet.Worker
+	sameIDRestartDelay time.Duration        // see SetStartAgain
+	wallClockOffset    time.Duration        // total of StepTimeOfDay
+	misdelivered       bool                 // the order being executed reached a later incarnation, which had received no call before
+	delayed            bool                 // the order being executed was delayed by Fault.Late
+	closedHalls        map[string]time.Time // evacuation deadlines by data hall
 }
 
 // New returns a fleet without workers.
 func New() *Fleet {
 	return &Fleet{
-		workers: map[string]*worker{}, kinds: map[string]Kind{}, gangs: map[string]*gang{}, tickets: map[string]ticket{},
-		dones: map[string]bool{}, well: map[string]bool{}, failed: map[string]int{}, begun: map[string]bool{},
-		crashes: map[string]*crashes{}, under: map[string]int{}, quotas: map[string][]quotaInForce{}, most: map[string]resource.Amount{},
-		entries: map[string]func(fleet.Worker) fleet.Worker{}, closed: map[string]time.Time{},
-		sick: map[string]Plan{}, refused: map[fleet.Reason]int{}, news: noNews{}, grace: resizeGrace,
+		workers: map[string]*worker{}, jobs: map[string]Kind{}, gangs: map[string]*gang{}, tickets: map[string]ticket{},
+		acknowledgedDone: map[string]bool{}, succeeded: map[string]bool{}, failures: map[string]int{}, startedJobs: map[string]bool{},
+		crashes: map[string]*crashRecord{}, workersLost: map[string]int{}, quotas: map[string][]quotaPeriod{}, peakUsage: map[string]resource.Amount{},
+		entryOverrides: map[string]func(fleet.Worker) fleet.Worker{}, closedHalls: map[string]time.Time{},
+		planOverrides: map[string]Plan{}, refused: map[fleet.Reason]int{}, observer: noopObserver{}, grace: resizeGrace,
 	}
 }
 
+// run is an attempt on a worker.
 type run struct {
-	task    workload.TaskID
-	number  int
-	need    resource.Amount
-	began   time.Time // when its work began; zero for a gang that waits
-	saved   string
-	timer   *time.Timer
-	stopped bool
-	stray   bool          // a late order of a former life's began it
-	work    time.Duration // that its plan takes; 0: none
-}
-
-// percent is how much of the work is done.
+	task         workload.TaskID
+	number       int
+	need         resource.Amount
+	startedAt    time.Time // zero while a gang member waits for the others
+	resumedFrom  string
+	timer        *time.Timer
+	stopped      bool
+	misdelivered bool          // started by an order for a former incarnation
+	plannedWork  time.Duration // 0 if the attempt hangs
+}
+
+// percent returns the progress of the attempt, at most 99.
 func (r *run) percent() int {
-	if r.began.IsZero() || r.work <= 0 {
+	if r.startedAt.IsZero() || r.plannedWork <= 0 {
 		return 0
 	}
-	return min(99, int(100*(savedWork(r.saved)+time.Since(r.began))/r.work))
+	return min(99, int(100*(savedWork(r.resumedFrom)+time.Since(r.startedAt))/r.plannedWork))
 }
 
+// worker is one incarnation of a worker.
 type worker struct {
-	info    fleet.Worker
-	base    string // the name of the first life at its address; empty: its own
-	booted  time.Time
-	token   uint64
-	lease   time.Time
-	lapse   *time.Timer
-	lapsed  uint64 // ends up to this one were listed when the lease last ran out
-	runs    map[string]*run
-	highest map[string]int // the highest attempt that was stopped or has ended here
-	ended   []fleet.End
-	next    uint64
-	dead    bool
-	// replaced is whether another life answers at the address of a dead one.
+	info                fleet.Worker
+	firstID             string // id of the first incarnation at its address; empty: its own
+	startedAt           time.Time
+	token               uint64
+	leaseUntil          time.Time
+	leaseTimer          *time.Timer
+	leaseExpiredThrough uint64 // last ended attempt when the lease last expired
+	runs                map[string]*run
+	highestAttempt      map[string]int // by task: highest attempt number that was stopped or has ended
+	ended               []fleet.End
+	lastSequence        uint64
+	dead                bool
+	// replaced is set if the worker is dead and another incarnation answers at its address.
 	replaced bool
-	// closed is whether the machine of a dead one refuses its connections; it is silent if not.
-	closed  bool
-	dropped bool            // discovery names it no more
-	told    bool            // a report of this life has been given
-	strays  map[uint64]bool // ends of stray attempts
-	former  []formerCapacity
-	changed chan struct{}
+	// refusesConnections is set if the machine of a dead worker refuses connections. Otherwise
+	// calls to a dead worker get no response.
+	refusesConnections bool
+	delisted           bool            // removed from discovery
+	reported           bool            // this incarnation has answered a Hold
+	misdelivered       map[uint64]bool // sequence numbers of ended attempts with run.misdelivered
+	formerCapacities   []formerCapacity
+	changed            chan struct{}
 }
 
-// Add adds a worker.
+// Add adds a worker whose process starts now.
 func (f *Fleet) Add(info fleet.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.addLife(info)
+	f.addIncarnation(info)
 }
 
-// addLife adds a life of a worker, which begins now. A worker that is given a Born tells it.
-func (f *Fleet) addLife(info fleet.Worker) {
+// addIncarnation adds a worker whose process starts now. It replaces a worker with the same id.
+func (f *Fleet) addIncarnation(info fleet.Worker) {
 	f.workers[info.ID] = &worker{
-		info: info, booted: time.Now(), runs: map[string]*run{}, highest: map[string]int{}, changed: make(chan struct{}),
-		strays: map[uint64]bool{},
+		info: info, startedAt: time.Now(), runs: map[string]*run{}, highestAttempt: map[string]int{}, changed: make(chan struct{}),
+		misdelivered: map[uint64]bool{},
 	}
 }
 
-// Unlist has discovery name no worker, or all again.
-func (f *Fleet) Unlist(all bool) {
+// Unlist makes List return no workers, or all listed ones again.
+func (f *Fleet) Unlist(empty bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unlisted = all
+	f.discoveryEmpty = empty
 }
 
-// Drop has discovery name a worker no more, which lives on.
+// Drop removes a worker from discovery. The worker keeps running.
 func (f *Fleet) Drop(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[id].dropped = true
+	f.workers[id].delisted = true
 }
 
-// List returns the workers that live and are listed.
+// List returns the workers in discovery, sorted by id.
 func (f *Fleet) List() []fleet.Worker {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.unlisted {
+	if f.discoveryEmpty {
 		return nil
 	}
 	var list []fleet.Worker
 	for _, w := range f.workers {
-		if !w.dropped && (!w.dead || w.replaced || w.closed) {
-			list = append(list, f.entryOf(w))
+		if !w.delisted && (!w.dead || w.replaced || w.refusesConnections) {
+			list = append(list, f.discoveryEntry(w))
 		}
 	}
 	slices.SortFunc(list, func(a, b fleet.Worker) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-// entryOf returns what discovery says of a worker.
-func (f *Fleet) entryOf(w *worker) fleet.Worker {
-	if change := f.entries[w.info.ID]; change != nil {
+// discoveryEntry returns a worker's entry in discovery.
+func (f *Fleet) discoveryEntry(w *worker) fleet.Worker {
+	if change := f.entryOverrides[w.info.ID]; change != nil {
 		return change(w.info)
 	}
 	return w.info
 }
 
-// SetEntry has discovery say something else of a worker than that it says of itself; nil: no more.
+// SetEntry makes discovery list what change returns for a worker instead of the worker itself.
+// A nil change restores the worker's own entry.
 func (f *Fleet) SetEntry(id string, change func(fleet.Worker) fleet.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.entries[id] = change
+	f.entryOverrides[id] = change
 }
 
-// Crash ends a worker's life and all it runs.
+// Crash ends a worker and all attempts on it. Calls to it get no response.
 func (f *Fleet) Crash(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.die(f.workers[id])
+	f.terminate(f.workers[id])
 }
 
-// die ends a life and all it runs. The other members of gangs there end soon after.
-func (f *Fleet) die(w *worker) {
+// terminate ends a worker and all attempts on it. The other members of their gangs end after
+// gangFailureDelay.
+func (f *Fleet) terminate(w *worker) {
 	w.dead = true
 	for name, r := range w.runs {
 		r.timer.Stop()
-		f.under[name]++
-		if g := f.gangs[gangName(r.task, r.number)]; g != nil {
+		f.workersLost[name]++
+		if g := f.gangs[gangKey(r.task, r.number)]; g != nil {
 			g.lost = true
-			time.AfterFunc(brokenAfter, func() { f.breakUp(r) })
+			time.AfterFunc(gangFailureDelay, func() { f.failGang(r) })
 		}
 	}
 	clear(w.runs)
-	if w.lapse != nil {
-		w.lapse.Stop()
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.wake()
+	w.signalChange()
 }
 
-// Replace ends a worker's life and has another answer at its address. Discovery goes
-// on naming the former.
+// Replace ends a worker and starts next at its address. Discovery keeps listing the former one.
 func (f *Fleet) Replace(id string, next fleet.Worker) {
 	f.Crash(id)
 	f.Add(next)
@@ -245,56 +247,56 @@
 	f.workers[id].replaced = true
 }
 
-// SetDraining marks a worker.
+// SetDraining marks a worker as draining.
 func (f *Fleet) SetDraining(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].info.Draining = true
 }
 
-// SetSick makes every attempt on a worker go by one plan.
+// SetSick makes every attempt on a worker follow plan instead of its job's plan.
 func (f *Fleet) SetSick(id string, plan Plan) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sick[id] = plan
+	f.planOverrides[id] = plan
 }
 
-// Know tells the judge of a job before it is handed in.
+// Know registers a job. It must be called before the job is submitted.
 func (f *Fleet) Know(job string, kind Kind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.kinds[job] = kind
+	f.jobs[job] = kind
 }
 
-// SetFault has decide say what happens to each call; nil: nothing does.
+// SetFault makes decide choose the fault of each call; nil: no faults.
 func (f *Fleet) SetFault(decide func(call Call, worker string) Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = decide
 }
 
-// Starts returns how many attempts have begun.
+// Starts returns the number of attempts that were started.
 func (f *Fleet) Starts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Alone counts the members of gangs that ended since the others did not come in time.
+// Alone returns the number of gang members that ended because the others did not start in time.
 func (f *Fleet) Alone() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.alone
+	return f.gangTimeouts
 }
 
-// Refused returns how many orders were refused for a reason.
+// Refused returns the number of orders that were refused for a reason.
 func (f *Fleet) Refused(reason fleet.Reason) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.refused[reason]
 }
 
-// Running returns how many attempts run.
+// Running returns the number of running attempts.
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -317,29 +319,29 @@
 	return ""
 }
 
-func (w *worker) wake() {
+func (w *worker) signalChange() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-func (w *worker) clock() fleet.Clock { return fleet.Clock(time.Since(w.booted).Milliseconds() + 1) }
+func (w *worker) clock() fleet.Clock { return fleet.Clock(time.Since(w.startedAt).Milliseconds() + 1) }
 
-// end ends an attempt, and with it its gang.
-func (f *Fleet) end(w *worker, r *run, outcome fleet.Outcome) {
+// endAttempt ends an attempt and its gang.
+func (f *Fleet) endAttempt(w *worker, r *run, outcome fleet.Outcome) {
 	name := r.task.String()
 	if w.runs[name] != r {
 		return
 	}
 	r.timer.Stop()
-	if g := f.gangs[gangName(r.task, r.number)]; g != nil && g.lost && outcome == fleet.Done {
+	if g := f.gangs[gangKey(r.task, r.number)]; g != nil && g.lost && outcome == fleet.Done {
 		outcome = fleet.Broken
 	}
 	delete(w.runs, name)
-	w.highest[name] = max(w.highest[name], r.number)
-	w.next++
-	w.strays[w.next] = r.stray
-	w.ended = append(w.ended, fleet.End{Sequence: w.next, Task: name, Number: r.number, Outcome: outcome, Checkpoint: r.checkpoint()})
-	w.wake()
+	w.highestAttempt[name] = max(w.highestAttempt[name], r.number)
+	w.lastSequence++
+	w.misdelivered[w.lastSequence] = r.misdelivered
+	w.ended = append(w.ended, fleet.End{Sequence: w.lastSequence, Task: name, Number: r.number, Outcome: outcome, Checkpoint: r.checkpoint()})
+	w.signalChange()
 	if outcome == fleet.Done {
 		f.endGang(r, fleet.Done)
 	} else {
@@ -347,12 +349,12 @@
 	}
 }
 
-// checkpoint is the work saved so far, as text.
+// checkpoint returns the attempt's latest checkpoint: the step and the work done.
 func (r *run) checkpoint() string {
-	if r.began.IsZero() {
-		return r.saved
+	if r.startedAt.IsZero() {
+		return r.resumedFrom
 	}
-	done := savedWork(r.saved) + time.Since(r.began).Truncate(saveEvery)
+	done := savedWork(r.resumedFrom) + time.Since(r.startedAt).Truncate(checkpointInterval)
 	if done == 0 {
 		return ""
 	}
@@ -368,7 +370,7 @@
 	return done
 }
 
-// RunningOn returns how many attempts run on a worker.
+// RunningOn returns the number of running attempts on a worker.
 func (f *Fleet) RunningOn(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleettest/gang.go
+++ b/fleet/fleettest/gang.go
@@ -8,24 +8,25 @@
 	"chutereach/workload"
 )
 
+// gang is the set of attempts of a gang step that work together.
 type gang struct {
 	members map[int]*worker
-	lost    bool // a member's worker has ended: the others can't end well
+	lost    bool // a member's worker has ended, so the others can't complete
 }
 
-// brokenAfter is how long after the end of a worker the other members of its gangs end.
-const brokenAfter = 200 * time.Millisecond
+// gangFailureDelay is the time from the end of a worker to the end of its gangs' other members.
+const gangFailureDelay = 200 * time.Millisecond
 
-// breakUp ends a gang of which a member was lost with its worker.
-func (f *Fleet) breakUp(lost *run) {
+// failGang ends the gang of an attempt that was lost with its worker.
+func (f *Fleet) failGang(lost *run) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.endGang(lost, fleet.Broken)
 }
 
-// endGang ends the members of an attempt's gang that still run.
+// endGang ends the running members of an attempt's gang.
 func (f *Fleet) endGang(r *run, outcome fleet.Outcome) {
-	name := gangName(r.task, r.number)
+	name := gangKey(r.task, r.number)
 	g := f.gangs[name]
 	if g == nil {
 		return
@@ -35,18 +36,19 @@
 		member := r.task
 		member.Index = index
 		if other := host.runs[member.String()]; other != nil && !host.dead && other.number == r.number {
-			f.end(host, other, outcome)
+			f.endAttempt(host, other, outcome)
 		}
 	}
 }
 
-func gangName(task workload.TaskID, number int) string {
+func gangKey(task workload.TaskID, number int) string {
 	return fmt.Sprintf("%s#%d", task.StepName(), number)
 }
 
-// join adds a member to its gang, and starts the work once all are there.
-func (f *Fleet) join(w *worker, r *run, kind Kind) {
-	name := gangName(r.task, r.number)
+// joinGang adds an attempt to its gang. Work starts once all members have joined; a member that
+// waits longer than gangTimeout ends with fleet.Alone.
+func (f *Fleet) joinGang(w *worker, r *run, kind Kind) {
+	name := gangKey(r.task, r.number)
 	g := f.gangs[name]
 	if g == nil {
 		g = &gang{members: map[int]*worker{}}
@@ -59,7 +61,7 @@
 			member.Index = index
 			if other := host.runs[member.String()]; other != nil && !host.dead {
 				other.timer.Stop()
-				f.work(host, other, kind)
+				f.runPlan(host, other, kind)
 			}
 		}
 		return
@@ -67,9 +69,9 @@
 	r.timer = time.AfterFunc(gangTimeout, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if !w.dead && w.runs[r.task.String()] == r && r.began.IsZero() {
-			f.alone++
-			f.end(w, r, fleet.Alone)
+		if !w.dead && w.runs[r.task.String()] == r && r.startedAt.IsZero() {
+			f.gangTimeouts++
+			f.endAttempt(w, r, fleet.Alone)
 		}
 	})
 }
--- a/fleet/fleettest/judge.go
+++ b/fleet/fleettest/judge.go
@@ -9,89 +9,90 @@
 	"chutereach/workload"
 )
 
-// Broken returns the promises that were broken.
+// Broken returns the violations of the scheduler's guarantees so far.
 func (f *Fleet) Broken() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.broken)
+	return slices.Clone(f.violations)
 }
 
-// Began reports whether a task of a job was ever started.
+// Began reports whether any task of a job was started.
 func (f *Fleet) Began(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.begun[job]
+	return f.startedJobs[job]
 }
 
-func (f *Fleet) breaks(format string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf(format, args...))
+func (f *Fleet) violation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// judgeDone looks at an end done that is noted: no later attempt may run.
-func (f *Fleet) judgeDone(end fleet.End) {
+// checkDone records a violation if a later attempt of a task acknowledged as done is running.
+func (f *Fleet) checkDone(end fleet.End) {
 	for _, other := range f.workers {
-		if r := other.runs[end.Task]; r != nil && !other.dead && !r.stray && r.number > end.Number && !r.stopped {
-			f.breaks("attempt %d of %s runs on %s, and the end done of attempt %d was noted", r.number, end.Task, other.info.ID, end.Number)
+		if r := other.runs[end.Task]; r != nil && !other.dead && !r.misdelivered && r.number > end.Number && !r.stopped {
+			f.violation("attempt %d of %s is running on %s although attempt %d was acknowledged as done", r.number, end.Task, other.info.ID, end.Number)
 		}
 	}
 }
 
-// judge looks at an attempt that begins.
-func (f *Fleet) judge(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
+// checkStart records the violations of the scheduler's guarantees by the start of an attempt.
+func (f *Fleet) checkStart(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
 	name := task.String()
-	f.begun[task.Job] = true
+	f.startedJobs[task.Job] = true
 	if kind.Request.Steps == nil {
-		f.breaks("%s was started, and nobody handed it in", name)
+		f.violation("%s was started, but its job was not registered", name)
 		return
 	}
-	if f.dones[name] {
-		f.breaks("%s was started again after an end done was noted", name)
+	if f.acknowledgedDone[name] {
+		f.violation("%s was started again after it was acknowledged as done", name)
 	}
 	for _, other := range f.workers {
-		if r := other.runs[name]; r != nil && !other.dead && !r.stray {
-			f.breaks("%s runs twice, on %s as %d and on %s as %d", name, other.info.ID, r.number, w.info.ID, order.Number)
+		if r := other.runs[name]; r != nil && !other.dead && !r.misdelivered {
+			f.violation("%s runs twice: on %s as attempt %d and on %s as attempt %d", name, other.info.ID, r.number, w.info.ID, order.Number)
 		}
 	}
-	if f.failed[name] >= kind.Attempts {
-		f.breaks("%s was started after %d failures", name, f.failed[name])
+	if f.failures[name] >= kind.Attempts {
+		f.violation("%s was started after %d failed attempts, limit %d", name, f.failures[name], kind.Attempts)
 	}
-	f.judgeStep(w, task, order, kind)
+	f.checkStep(w, task, order, kind)
 }
 
-func (f *Fleet) judgeStep(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
+// checkStep checks a start against the constraints of its step and the worker's capacity.
+func (f *Fleet) checkStep(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
 	step := kind.Request.Steps[task.Step]
-	used, same := step.Need, 1
+	used, perWorker := step.Need, 1
 	for _, r := range w.runs {
 		used = used.Plus(r.need)
 		if r.task.StepName() == task.StepName() {
-			same++
+			perWorker++
 		}
 	}
-	if !w.holds(used, f.grace) {
-		f.breaks("%s brings %s over its capacity", task, w.info.ID)
+	if !w.fits(used, f.grace) {
+		f.violation("%s brings %s to %v, over its capacity %v", task, w.info.ID, used, w.info.Capacity)
 	}
-	if step.PerWorker > 0 && same > step.PerWorker {
-		f.breaks("%s is one of %d of its step on %s", task, same, w.info.ID)
+	if step.PerWorker > 0 && perWorker > step.PerWorker {
+		f.violation("%s is one of %d tasks of its step on %s, limit %d", task, perWorker, w.info.ID, step.PerWorker)
 	}
 	if !w.info.HasLabel(step.Label) {
-		f.breaks("%s was started on %s, which has not the label %s", task, w.info.ID, step.Label)
+		f.violation("%s was started on %s, which lacks the label %s", task, w.info.ID, step.Label)
 	}
 	if owner, _, saved := strings.Cut(order.Checkpoint, "@"); saved && owner != task.StepName() {
-		f.breaks("%s was given the checkpoint %s", task, order.Checkpoint)
+		f.violation("%s was given the checkpoint %s of another step", task, order.Checkpoint)
 	}
-	for _, earlier := range step.After {
-		for index := range kind.Request.Steps[earlier].Count {
-			before := workload.TaskID{Job: task.Job, Round: task.Round, Step: earlier, Index: index}
-			if !f.endedDone(before.String()) {
-				f.breaks("%s was started before %s was done", task, before)
+	for _, dependency := range step.After {
+		for index := range kind.Request.Steps[dependency].Count {
+			predecessor := workload.TaskID{Job: task.Job, Round: task.Round, Step: dependency, Index: index}
+			if !f.hasSucceeded(predecessor.String()) {
+				f.violation("%s was started before %s was done", task, predecessor)
 			}
 		}
 	}
 }
 
-// endedDone reports whether some attempt of a task has ended well.
-func (f *Fleet) endedDone(name string) bool {
-	if f.well[name] {
+// hasSucceeded reports whether any attempt of a task has ended as done.
+func (f *Fleet) hasSucceeded(name string) bool {
+	if f.succeeded[name] {
 		return true
 	}
 	for _, w := range f.workers {
--- a/fleet/fleettest/orders.go
+++ b/fleet/fleettest/orders.go
@@ -16,15 +16,15 @@
 )
 
 var (
-	errNoAnswer    = errors.New("no answer")
-	errAnotherLife = errors.New("another life than was meant")
+	errNoResponse       = errors.New("no response")
+	errWrongIncarnation = errors.New("connection leads to another incarnation of the worker")
 )
 
-// call carries one call out, with its fault.
-func call[A any](ctx context.Context, f *Fleet, kind Call, info fleet.Worker, do func(*worker) (A, error)) (A, error) {
-	var none A
+// call executes one call to a worker, subject to the fault injected into it.
+func call[A any](ctx context.Context, f *Fleet, kind Call, info fleet.Worker, handle func(*worker) (A, error)) (A, error) {
+	var zero A
 	if wait.For(ctx, latency) != nil {
-		return none, &fleet.UnansweredError{Cause: ctx.Err()}
+		return zero, &fleet.UnansweredError{Cause: ctx.Err()}
 	}
 	f.mu.Lock()
 	w := f.workers[info.ID]
@@ -34,44 +34,45 @@
 	}
 	silent := w == nil || w.dead || fault.Lost
 	replaced := w != nil && w.replaced && !fault.Lost
-	// Orders go over connections of which it is known which life they lead to.
-	another := w != nil && kind != CallHold && info.Known() && w.info.Life != info.Life
-	closed := w != nil && w.dead && w.closed && !fault.Lost
+	// Start and Stop are sent only over connections whose incarnation is known.
+	wrongIncarnation := w != nil && kind != CallHold && info.Known() && w.info.Life != info.Life
+	closed := w != nil && w.dead && w.refusesConnections && !fault.Lost
 	f.mu.Unlock()
 	switch {
 	case closed && !replaced:
-		return none, &fleet.UnansweredError{Cause: syscall.ECONNREFUSED, Unsent: true, Closed: true}
+		return zero, &fleet.UnansweredError{Cause: syscall.ECONNREFUSED, Unsent: true, Closed: true}
 	case replaced:
-		return none, &fleet.ReplacedError{ID: info.ID}
-	case another:
-		return none, &fleet.UnansweredError{Cause: errAnotherLife, Unsent: true}
+		return zero, &fleet.ReplacedError{ID: info.ID}
+	case wrongIncarnation:
+		return zero, &fleet.UnansweredError{Cause: errWrongIncarnation, Unsent: true}
 	case fault.Busy:
-		return none, &fleet.BusyError{ID: info.ID}
+		return zero, &fleet.BusyError{ID: info.ID}
 	case fault.Late > 0:
 		go func() {
 			time.Sleep(fault.Late)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			// The life that has the id then takes it: a call names no other life. What it begins
-			// so before it has been called is nobody's promise to keep: no caller can prevent it.
-			if taker := f.workers[info.ID]; taker != nil && !taker.dead {
-				f.stray, f.late = taker != w && taker.token == 0, true
-				do(taker)
-				f.stray, f.late = false, false
+			// Calls carry the id only, so whichever incarnation has the id by then executes it.
+			// If that one has received no call yet, no caller can prevent this: the attempt is
+			// marked as misdelivered and not checked.
+			if receiver := f.workers[info.ID]; receiver != nil && !receiver.dead {
+				f.misdelivered, f.delayed = receiver != w && receiver.token == 0, true
+				handle(receiver)
+				f.misdelivered, f.delayed = false, false
 			}
 		}()
 		silent = true
 	}
 	if silent {
 		<-ctx.Done()
-		return none, &fleet.UnansweredError{Cause: errNoAnswer}
+		return zero, &fleet.UnansweredError{Cause: errNoResponse}
 	}
 	f.mu.Lock()
-	answer, err := do(w)
+	answer, err := handle(w)
 	f.mu.Unlock()
 	if fault.Mute {
 		<-ctx.Done()
-		return none, &fleet.UnansweredError{Cause: errNoAnswer}
+		return zero, &fleet.UnansweredError{Cause: errNoResponse}
 	}
 	return answer, err
 }
@@ -81,28 +82,28 @@
 	return &fleet.RefusedError{Reason: reason, Clock: w.clock()}
 }
 
-// extend lengthens the lease of everything on the worker.
-func (f *Fleet) extend(w *worker, deadline fleet.Clock) {
-	until := w.booted.Add(time.Duration(deadline) * time.Millisecond)
-	if most := time.Now().Add(MostLease); until.After(most) {
-		until = most
+// extendLease extends the lease of all attempts on the worker, at most to MostLease from now.
+func (f *Fleet) extendLease(w *worker, deadline fleet.Clock) {
+	until := w.startedAt.Add(time.Duration(deadline) * time.Millisecond)
+	if maxUntil := time.Now().Add(MostLease); until.After(maxUntil) {
+		until = maxUntil
 	}
-	if !until.After(w.lease) {
+	if !until.After(w.leaseUntil) {
 		return
 	}
-	w.lease = until
-	if w.lapse != nil {
-		w.lapse.Stop()
+	w.leaseUntil = until
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.lapse = time.AfterFunc(time.Until(until), func() {
+	w.leaseTimer = time.AfterFunc(time.Until(until), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if w.dead || time.Now().Before(w.lease) {
+		if w.dead || time.Now().Before(w.leaseUntil) {
 			return
 		}
-		w.lapsed = w.next
+		w.leaseExpiredThrough = w.lastSequence
 		for _, r := range w.runs {
-			f.end(w, r, fleet.Lapsed)
+			f.endAttempt(w, r, fleet.Lapsed)
 		}
 	})
 }
@@ -120,78 +121,78 @@
 	if order.Deadline < w.clock() {
 		return 0, f.refuse(w, fleet.Late)
 	}
-	f.extend(w, order.Deadline)
+	f.extendLease(w, order.Deadline)
 	if r := w.runs[order.Task]; r != nil && r.number == order.Number {
 		return w.clock(), nil
 	}
-	if order.Number <= w.highest[order.Task] || w.runs[order.Task] != nil {
+	if order.Number <= w.highestAttempt[order.Task] || w.runs[order.Task] != nil {
 		return 0, f.refuse(w, fleet.Outdated)
 	}
 	task, err := workload.ParseTaskID(order.Task)
 	if err != nil {
 		return 0, f.refuse(w, fleet.Invalid)
 	}
-	kind := f.kinds[task.Job]
-	if kind.Advised && !f.honours(order.Ticket, task.StepName(), w) {
+	kind := f.jobs[task.Job]
+	if kind.Advised && !f.acceptsTicket(order.Ticket, task.StepName(), w) {
 		return 0, f.refuse(w, fleet.NoTicket)
 	}
-	f.begin(w, task, order, kind)
+	f.startAttempt(w, task, order, kind)
 	return w.clock(), nil
 }
 
-// begin runs an attempt, and judges whether it may.
-func (f *Fleet) begin(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
+// startAttempt starts an attempt and checks whether the start was allowed.
+func (f *Fleet) startAttempt(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
 	f.starts++
-	if !f.stray {
-		f.judge(w, task, order, kind)
-		f.judgeCrashes(task)
-		f.judgeHall(w, task)
+	if !f.misdelivered {
+		f.checkStart(w, task, order, kind)
+		f.checkCrashes(task)
+		f.checkHall(w, task)
 	}
-	r := &run{task: task, number: order.Number, saved: order.Checkpoint, stray: f.stray}
+	r := &run{task: task, number: order.Number, resumedFrom: order.Checkpoint, misdelivered: f.misdelivered}
 	if task.Step < len(kind.Request.Steps) {
 		r.need = kind.Request.Steps[task.Step].Need
 	}
 	w.runs[order.Task] = r
-	f.judgeQuota(kind.Account)
+	f.checkQuota(kind.Account)
 	r.timer = time.AfterFunc(time.Hour, func() {})
 	if task.Step < len(kind.Request.Steps) && kind.Request.Steps[task.Step].Gang {
-		f.join(w, r, kind)
+		f.joinGang(w, r, kind)
 		return
 	}
-	f.work(w, r, kind)
+	f.runPlan(w, r, kind)
 }
 
-// work lets an attempt run to its end.
-func (f *Fleet) work(w *worker, r *run, kind Kind) {
-	r.began = time.Now()
+// runPlan starts the work of an attempt, which ends as its plan says.
+func (f *Fleet) runPlan(w *worker, r *run, kind Kind) {
+	r.startedAt = time.Now()
 	plan := Plan{Work: time.Second}
 	if kind.Plan != nil {
 		plan = kind.Plan(r.task, r.number)
 	}
-	if sick, ok := f.sick[w.info.ID]; ok {
-		plan = sick
+	if override, ok := f.planOverrides[w.info.ID]; ok {
+		plan = override
 	}
 	if plan.Hangs {
 		return
 	}
-	r.work = plan.Work
-	left := plan.Work - savedWork(r.saved)
+	r.plannedWork = plan.Work
+	remaining := plan.Work - savedWork(r.resumedFrom)
 	r.timer.Stop()
-	r.timer = time.AfterFunc(max(0, left), func() {
+	r.timer = time.AfterFunc(max(0, remaining), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if w.dead || w.runs[r.task.String()] != r {
 			return
 		}
 		if plan.Crashes {
-			f.crashUnder(w, r.task)
+			f.crashWorker(w, r.task)
 			return
 		}
 		outcome := plan.Outcome
 		if outcome == "" {
 			outcome = fleet.Done
 		}
-		f.end(w, r, outcome)
+		f.endAttempt(w, r, outcome)
 	})
 }
 
@@ -202,17 +203,17 @@
 			return 0, f.refuse(w, fleet.Fenced)
 		}
 		w.token = order.Token
-		w.highest[order.Task] = max(w.highest[order.Task], order.Number)
+		w.highestAttempt[order.Task] = max(w.highestAttempt[order.Task], order.Number)
 		r := w.runs[order.Task]
 		if r == nil || r.number > order.Number || r.stopped {
 			return w.clock(), nil
 		}
 		r.stopped = true
-		time.AfterFunc(stopWithin, func() {
+		time.AfterFunc(stopDelay, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if !w.dead {
-				f.end(w, r, fleet.Stopped)
+				f.endAttempt(w, r, fleet.Stopped)
 			}
 		})
 		return w.clock(), nil
@@ -223,11 +224,11 @@
 func (f *Fleet) Hold(ctx context.Context, info fleet.Worker, order fleet.HoldOrder) (fleet.Report, error) {
 	deadline := time.Now().Add(order.Wait)
 	if !f.connected(info.Life) {
-		order.Noted = 0 // the life that is meant has not answered over the connection
+		order.Noted = 0 // that incarnation has not answered on this connection
 	}
 	var (
-		w       *worker       // the life that took the call
-		changed chan struct{} // as of the report, so that no end is missed
+		w       *worker       // the incarnation that executed the call
+		changed chan struct{} // read along with the report, so that no later change is missed
 	)
 	report, err := call(ctx, f, CallHold, info, func(reached *worker) (fleet.Report, error) {
 		w, changed = reached, reached.changed
@@ -246,13 +247,13 @@
 		order.Deadline = 0
 		f.mu.Lock()
 		if w.dead {
-			closed := w.closed
+			closed := w.refusesConnections
 			f.mu.Unlock()
 			if closed {
 				return fleet.Report{}, &fleet.UnansweredError{Cause: io.ErrUnexpectedEOF, Closed: true}
 			}
 			<-ctx.Done()
-			return fleet.Report{}, &fleet.UnansweredError{Cause: errNoAnswer}
+			return fleet.Report{}, &fleet.UnansweredError{Cause: errNoResponse}
 		}
 		changed = w.changed
 		report, err = f.hold(w, order)
@@ -261,13 +262,13 @@
 	return report, err
 }
 
-// connected reports whether a life has its id now and has told of itself before: then a
-// connection to it is open.
+// connected reports whether an incarnation is the latest with its id and has answered a Hold, so
+// that the caller has a connection that is known to lead to it.
 func (f *Fleet) connected(life fleet.Life) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[life.ID]
-	return w != nil && w.info.Life == life && w.told
+	return w != nil && w.info.Life == life && w.reported
 }
 
 func (f *Fleet) hold(w *worker, order fleet.HoldOrder) (fleet.Report, error) {
@@ -276,10 +277,10 @@
 	}
 	w.token = order.Token
 	if order.Deadline > 0 {
-		f.extend(w, order.Deadline)
+		f.extendLease(w, order.Deadline)
 	}
-	f.note(w, order.Noted)
-	w.told = true
+	f.acknowledge(w, order.Noted)
+	w.reported = true
 	report := fleet.Report{Born: w.info.Born, Clock: w.clock(), Ended: slices.Clone(w.ended)}
 	for name, r := range w.runs {
 		report.Running = append(report.Running, fleet.Attempt{Task: name, Number: r.number, Checkpoint: r.checkpoint(), Percent: r.percent()})
@@ -287,61 +288,60 @@
 	return report, nil
 }
 
-// note forgets ends that an owner has taken note of.
-func (f *Fleet) note(w *worker, upTo uint64) {
+// acknowledge removes the ended attempts up to a sequence number from the worker's reports.
+func (f *Fleet) acknowledge(w *worker, upTo uint64) {
 	var rest []fleet.End
 	for _, end := range w.ended {
 		switch {
 		case end.Sequence > upTo:
 			rest = append(rest, end)
-		case end.Sequence <= w.lapsed:
-			// Its owner had to give it up when the lease ran out, and may have started
-			// the task elsewhere. Well done it is all the same.
-			f.well[end.Task] = f.well[end.Task] || end.Outcome == fleet.Done
-		case w.strays[end.Sequence]:
+		case end.Sequence <= w.leaseExpiredThrough:
+			// The lease expired after this end, so the scheduler may have started the task
+			// elsewhere. Its dependents may start nonetheless.
+			f.succeeded[end.Task] = f.succeeded[end.Task] || end.Outcome == fleet.Done
+		case w.misdelivered[end.Sequence]:
 		case end.Outcome == fleet.Done:
-			f.dones[end.Task], f.well[end.Task] = true, true
-			f.judgeDone(end)
+			f.acknowledgedDone[end.Task], f.succeeded[end.Task] = true, true
+			f.checkDone(end)
 		case end.Outcome == fleet.Failed:
-			f.failed[end.Task]++
+			f.failures[end.Task]++
 		}
 	}
 	w.ended = rest
 }
 
-// ticket is good for one life of a worker.
+// ticket is a ticket for one incarnation of a worker.
 type ticket struct {
 	expires time.Time
-	life    *worker
+	worker  *worker
 }
 
-// honours reports whether a ticket is good for a step on a worker now.
-func (f *Fleet) honours(text, step string, w *worker) bool {
+// acceptsTicket reports whether a ticket is valid for a step on a worker now.
+func (f *Fleet) acceptsTicket(text, step string, w *worker) bool {
 	t, ok := f.tickets[text]
-	return ok && strings.HasPrefix(text, step+"/"+w.info.ID+"/") && t.life == w && !time.Now().After(t.expires)
+	return ok && strings.HasPrefix(text, step+"/"+w.info.ID+"/") && t.worker == w && !time.Now().After(t.expires)
 }
 
-// ticketValid is for how long a ticket is good.
-const ticketValid = 2 * time.Second
+const ticketLifetime = 2 * time.Second
 
-// Advise implements fleet.Advisor: two of three workers may run a step, whichever of their
-// lives. If that hung on the life, the lives that stay would be those that no step that
-// crashes workers may go to.
+// Advise implements fleet.Advisor. About two of three workers may run a step. The answer is the
+// same for all incarnations at an address: otherwise, as steps crash workers, those left would
+// be the ones that the steps may not run on.
 func (f *Fleet) Advise(ctx context.Context, step string, workers []string) (fleet.Advice, error) {
 	if wait.For(ctx, 10*time.Millisecond) != nil {
 		return fleet.Advice{}, &fleet.AdvisorError{Cause: ctx.Err()}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.advice++
-	advice := fleet.Advice{Tickets: map[string]string{}, Valid: ticketValid}
+	f.adviceCalls++
+	advice := fleet.Advice{Tickets: map[string]string{}, Valid: ticketLifetime}
 	for _, id := range workers {
-		if place := f.placeOf(id); (len(step)+int(place[len(place)-1]))%3 == 0 {
+		if firstID := f.firstIDOf(id); (len(step)+int(firstID[len(firstID)-1]))%3 == 0 {
 			continue
 		}
-		text := fmt.Sprintf("%s/%s/%d", step, id, f.advice)
+		text := fmt.Sprintf("%s/%s/%d", step, id, f.adviceCalls)
 		advice.Tickets[id] = text
-		f.tickets[text] = ticket{time.Now().Add(ticketValid), f.workers[id]}
+		f.tickets[text] = ticket{time.Now().Add(ticketLifetime), f.workers[id]}
 	}
 	return advice, nil
 }
--- a/fleet/fleettest/quota.go
+++ b/fleet/fleettest/quota.go
@@ -7,70 +7,70 @@
 	"chutereach/resource"
 )
 
-// SetQuota tells the judge what an account may have running. A higher one that was in force
-// before counts until the grace of SetResizeGrace is over.
+// SetQuota sets the quota of an account. A former quota still allows starts until the grace of
+// SetResizeGrace has passed.
 func (f *Fleet) SetQuota(name string, quota account.Quota) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.quotas[name] {
-		if f.quotas[name][i].until.IsZero() {
-			f.quotas[name][i].until = time.Now()
+		if f.quotas[name][i].supersededAt.IsZero() {
+			f.quotas[name][i].supersededAt = time.Now()
 		}
 	}
-	f.quotas[name] = append(f.quotas[name], quotaInForce{quota: quota})
+	f.quotas[name] = append(f.quotas[name], quotaPeriod{quota: quota})
 }
 
-// quotaInForce is a quota and until when it was the newest; zero: it is.
-type quotaInForce struct {
-	quota account.Quota
-	until time.Time
+// quotaPeriod is a quota and the time when the next one replaced it, zero if none has.
+type quotaPeriod struct {
+	quota        account.Quota
+	supersededAt time.Time
 }
 
-// judgeQuota looks at what an account has running after a start: what is being stopped still
-// counts, and so does what runs on a worker that nobody reaches.
-func (f *Fleet) judgeQuota(name string) {
+// checkQuota records a violation if an account exceeds its quota after a start. Attempts that
+// are being stopped count, and so do those on unreachable workers.
+func (f *Fleet) checkQuota(name string) {
 	if len(f.quotas[name]) == 0 {
 		return
 	}
-	used := f.usedBy(name)
-	f.most[name] = resource.Amount{
-		CPU: max(f.most[name].CPU, used.CPU), Memory: max(f.most[name].Memory, used.Memory),
-		Accelerators: max(f.most[name].Accelerators, used.Accelerators),
+	used := f.usedByLocked(name)
+	f.peakUsage[name] = resource.Amount{
+		CPU: max(f.peakUsage[name].CPU, used.CPU), Memory: max(f.peakUsage[name].Memory, used.Memory),
+		Accelerators: max(f.peakUsage[name].Accelerators, used.Accelerators),
 	}
 	for _, q := range f.quotas[name] {
-		counts := q.until.IsZero() || time.Since(q.until) <= f.grace
+		counts := q.supersededAt.IsZero() || time.Since(q.supersededAt) <= f.grace
 		if counts && q.quota.Allows(used) {
 			return
 		}
 	}
-	f.breaks("a start brings account %s to %v, over its quota", name, used)
+	f.violation("a start brings account %s to %v, over its quota", name, used)
 }
 
-// usedBy adds up what runs of an account on all workers that are up.
-func (f *Fleet) usedBy(name string) resource.Amount {
-	return f.sumLocked(func(r *run) bool { return f.kinds[r.task.Job].Account == name })
+// usedByLocked returns the resources in use by an account. The lock is held.
+func (f *Fleet) usedByLocked(name string) resource.Amount {
+	return f.sumLocked(func(r *run) bool { return f.jobs[r.task.Job].Account == name })
 }
 
-// MostUsed returns the most that an account has had running of each kind.
+// MostUsed returns the peak usage of each resource by an account with a quota.
 func (f *Fleet) MostUsed(name string) resource.Amount {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.most[name]
+	return f.peakUsage[name]
 }
 
-// UsedBy returns what runs of an account.
+// UsedBy returns the resources in use by an account.
 func (f *Fleet) UsedBy(name string) resource.Amount {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.usedBy(name)
+	return f.usedByLocked(name)
 }
 
-// UsedByJob returns what runs of a job.
+// UsedByJob returns the resources in use by a job.
 func (f *Fleet) UsedByJob(job string) resource.Amount {
 	return f.sum(func(r *run) bool { return r.task.Job == job })
 }
 
-// Used returns what runs on all workers that are up.
+// Used returns the resources in use on all running workers.
 func (f *Fleet) Used() resource.Amount { return f.sum(func(*run) bool { return true }) }
 
 func (f *Fleet) sum(counts func(*run) bool) resource.Amount {
@@ -79,6 +79,7 @@
 	return f.sumLocked(counts)
 }
 
+// sumLocked adds up the resources of the attempts that counts selects. The lock is held.
 func (f *Fleet) sumLocked(counts func(*run) bool) resource.Amount {
 	used := resource.Amount{}
 	for _, w := range f.workers {
