--- a/fleet/fleettest/orders.go
+++ b/fleet/fleettest/orders.go
@@ -264,11 +264,11 @@
 
 // connected reports whether an incarnation is the latest with its id and has answered a Hold, so
 // that the caller has a connection that is known to lead to it.
-func (f *Fleet) connected(life fleet.Life) bool {
+func (f *Fleet) connected(incarnation fleet.Life) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := f.workers[life.ID]
-	return w != nil && w.info.Life == life && w.reported
+	w := f.workers[incarnation.ID]
+	return w != nil && w.info.Life == incarnation && w.reported
 }
 
 func (f *Fleet) hold(w *worker, order fleet.HoldOrder) (fleet.Report, error) {
