--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,6 +1,7 @@
-// Package explain finds in the saved logs of several boxes what became of a job and
-// why: its own lines in the order of time, what happened around it to owners and to
-// the store, and a summary of where its time went.
+// Package explain reconstructs a job's history from the saved logs of several boxes: its
+// log lines in time order, concurrent changes of shard owner and store outages, and a
+// summary of where its time went.
 //
-// Boxes' clocks disagree by some milliseconds; lines of one box keep their order.
+// Clocks of different boxes may differ by a few milliseconds. Lines of one box keep
+// their order.
 package explain
--- a/explain/evacuation.go
+++ b/explain/evacuation.go
@@ -7,69 +7,69 @@
 	"time"
 )
 
-// Messages of lines on evacuated data halls.
+// Log messages about evacuated data halls.
 const (
-	hallsEvacuated = "evacuated data halls"
-	viewStale      = "nothing is placed: evacuations are unconfirmed"
-	viewFresh      = "evacuations are confirmed again"
-	startHeldBack  = "start held back"
+	msgHallsEvacuated         = "evacuated data halls"
+	msgEvacuationsUnconfirmed = "nothing is placed: evacuations are unconfirmed"
+	msgEvacuationsConfirmed   = "evacuations are confirmed again"
+	msgStartHeldBack          = "start held back"
 )
 
-// evacuatedSpans returns the times in which some data hall was evacuated, as the first box to hear
-// of each change has it.
+// evacuatedSpans returns the periods in which at least one data hall was evacuated. Of the lines
+// that the boxes log for one version, the first counts.
 func evacuatedSpans(lines []Line) []span {
 	var spans []span
-	begun, last := time.Time{}, time.Time{}
+	start, last := time.Time{}, time.Time{}
 	newest := 0.0
 	for _, line := range lines {
 		last = line.Time
 		version, _ := line.Fields["version"].(float64)
-		if line.Message != hallsEvacuated || version <= newest {
+		if line.Message != msgHallsEvacuated || version <= newest {
 			continue
 		}
 		newest = version
-		evacuated := len(line.texts("halls")) > 0
+		evacuated := len(line.stringsField("halls")) > 0
 		switch {
-		case evacuated && begun.IsZero():
-			begun = line.Time
-		case !evacuated && !begun.IsZero():
-			spans = append(spans, span{begun, line.Time})
-			begun = time.Time{}
+		case evacuated && start.IsZero():
+			start = line.Time
+		case !evacuated && !start.IsZero():
+			spans = append(spans, span{start, line.Time})
+			start = time.Time{}
 		}
 	}
-	if !begun.IsZero() {
-		spans = append(spans, span{begun, last})
+	if !start.IsZero() {
+		spans = append(spans, span{start, last})
 	}
 	return spans
 }
 
-// heldBack counts the starts of a job that were not sent, by why and data hall.
-func heldBack(own []Line) []string {
+// heldStarts counts the start orders that were not sent, by reason and data hall.
+func heldStarts(own []Line) []string {
 	counts := map[string]int{}
 	for _, line := range own {
-		if line.Message == startHeldBack {
-			counts[line.text("why")+" ("+line.text("hall")+")"]++
+		if line.Message == msgStartHeldBack {
+			counts[line.stringField("why")+" ("+line.stringField("hall")+")"]++
 		}
 	}
 	var sentences []string
 	for why, count := range counts {
-		sentences = append(sentences, fmt.Sprintf("%d starts were held back: %s.", count, why))
+		sentences = append(sentences, fmt.Sprintf("%d start orders were held back: %s.", count, why))
 	}
 	slices.Sort(sentences)
 	return sentences
 }
 
-// evacuations names the data halls that were evacuated in the job's time.
-func evacuations(others []Line) []string {
+// evacuatedHalls lists the data halls that were evacuated while the job was active.
+func evacuatedHalls(others []Line) []string {
 	var halls []string
 	for _, line := range others {
-		if line.Message == hallsEvacuated {
-			halls = append(halls, line.texts("halls")...)
+		if line.Message == msgHallsEvacuated {
+			halls = append(halls, line.stringsField("halls")...)
 		}
 	}
 	if len(halls) == 0 {
 		return nil
 	}
 	slices.Sort(halls)
-	return []string{fmt.Sprintf("Data halls were evacuated meanwhile, and got nothing new: %s.", strings.Join(slices.Compact(halls), ", "))}
+	return []string{fmt.Sprintf("Data halls evacuated in the meantime, with no new starts: %s.", strings.Join(slices.Compact(halls), ", "))}
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -8,8 +8,9 @@
 	"chutereach/explain"
 )
 
-// The logs of two boxes: the owner stops answering while job a1 runs; job b2 is
-// refused; a worker fails job c3.
+// Logs of two boxes: the owner stops answering while a1 runs, b2 is refused, c3 fails on a
+// worker, d4 loses two workers, e5 waits for its account's quota, and f6 is returned to its
+// caller.
 const (
 	logOne = `
 {"level":"info","part":"node","token":7,"job":"a1","queue":"q","steps":1,"time":"2026-12-02T10:00:00.100Z","message":"accepted"}
@@ -56,12 +57,12 @@
 		says  []string
 		lines int
 	}{
-		{"a1", []string{"completed, late, after 2.5s", "placed 40ms after it was accepted, with 900ms to spare", "changed its owner 1 times meanwhile: the owner edge-1 is silent", "did not answer 1 boxes"}, 6},
-		{"b2", []string{"refused: not taken: the store does not answer", "changed its owner 1 times"}, 3},
-		{"c3", []string{"failed, in time, after 350ms: a task has failed", "2 attempts were failed (listed by the worker), on 1 workers"}, 7},
-		{"d4", []string{"failed, in time, after 30ms: workers have ended under its task", "2 workers ended under d4.0.0.0: w-3, w-4."}, 7},
-		{"e5", []string{"Its account x was at its quota (14 cpu 9.0 GiB in use of 16 cpu 0 B): steps waited 80ms for that."}, 7},
-		{"f6", []string{"given back, its caller told that it was not taken: the store did not answer for 910ms", "did not answer 1 boxes"}, 5},
+		{"a1", []string{"The job ended in state completed, late, after 2.5s", "placed 40ms after it was accepted, 900ms before its deadline", "changed owner 1 times in the meantime: the owner edge-1 is silent", "did not answer 1 boxes"}, 6},
+		{"b2", []string{"refused: not taken: the store does not answer", "changed owner 1 times"}, 3},
+		{"c3", []string{"The job ended in state failed, in time, after 350ms: a task has failed", "2 attempts were failed (listed by the worker), on 1 workers"}, 7},
+		{"d4", []string{"The job ended in state failed, in time, after 30ms: workers have ended under its task", "2 workers ended while running d4.0.0.0: w-3, w-4."}, 7},
+		{"e5", []string{"Its account x was at its quota (14 cpu 9.0 GiB in use of 16 cpu 0 B): steps waited 80ms for room."}, 7},
+		{"f6", []string{"returned to its caller as not accepted: the store had not answered for 910ms", "did not answer 1 boxes"}, 5},
 	} {
 		t.Run(c.job, func(t *testing.T) {
 			story, err := explain.Tell(lines, c.job)
@@ -71,18 +72,18 @@
 			summary := strings.Join(story.Summary, "\n")
 			for _, want := range c.says {
 				if !strings.Contains(summary, want) {
-					t.Errorf("the summary lacks %q:\n%s", want, summary)
+					t.Errorf("summary does not contain %q:\n%s", want, summary)
 				}
 			}
 			if len(story.Lines) != c.lines {
-				t.Errorf("%d lines, want %d", len(story.Lines), c.lines)
+				t.Errorf("got %d lines, want %d", len(story.Lines), c.lines)
 			}
-			if c.job == "c3" && strings.Contains(summary, "changed its owner") {
-				t.Errorf("it tells of what came after the end:\n%s", summary)
+			if c.job == "c3" && strings.Contains(summary, "changed owner") {
+				t.Errorf("summary includes events after the end of the job:\n%s", summary)
 			}
 			for i := range story.Lines[1:] {
 				if story.Lines[i+1].Time.Before(story.Lines[i].Time) {
-					t.Error("the lines are not in the order of time")
+					t.Error("lines are not in time order")
 				}
 			}
 		})
@@ -96,8 +97,9 @@
 	})
 }
 
-// A late job's story leads to the evacuation of its data hall, told once though every box tells it.
-func TestTheStoryOfAnEvacuatedHall(t *testing.T) {
+// Guards against an evacuation missing from the summary of a job that it delayed, or reported
+// once per box.
+func TestTellEvacuatedHall(t *testing.T) {
 	const log = `edge-1 {"time":"2026-12-02T10:00:00.1Z","message":"evacuated data halls","version":7,"halls":["north"],"before":[]}
 edge-2 {"time":"2026-12-02T10:00:00.2Z","message":"evacuated data halls","version":7,"halls":["north"],"before":[]}
 edge-1 {"time":"2026-12-02T10:00:00.3Z","message":"accepted","job":"a1","queue":"q"}
@@ -110,33 +112,33 @@
 		t.Fatal(err)
 	}
 	summary := strings.Join(story.Summary, "\n")
-	for _, want := range []string{"1 starts were held back: its data hall is evacuated (north).", "Data halls were evacuated meanwhile, and got nothing new: north."} {
+	for _, want := range []string{"1 start orders were held back: its data hall is evacuated (north).", "Data halls evacuated in the meantime, with no new starts: north."} {
 		if !strings.Contains(summary, want) {
-			t.Errorf("the summary lacks %q:\n%s", want, summary)
+			t.Errorf("summary does not contain %q:\n%s", want, summary)
 		}
 	}
 	if len(story.Lines) != 5 {
-		t.Errorf("%d lines, want 5", len(story.Lines))
+		t.Errorf("got %d lines, want 5", len(story.Lines))
 	}
 }
 
 func TestRead(t *testing.T) {
-	t.Run("the box", func(t *testing.T) {
+	t.Run("box name", func(t *testing.T) {
 		if box := read(t, logOne, "one")[0].Box; box != "one" {
-			t.Errorf("without words before it: box %q", box)
+			t.Errorf("line without a prefix: got box %q, want one", box)
 		}
 		if box := read(t, logTwo, "two")[0].Box; box != "edge-2" {
-			t.Errorf("with words before it: box %q", box)
+			t.Errorf("line with a prefix: got box %q, want edge-2", box)
 		}
 	})
-	t.Run("lines that are none", func(t *testing.T) {
+	t.Run("lines that are not log lines", func(t *testing.T) {
 		text := "panic: {\n{\"time\":\"now\",\"message\":\"m\"}\n{\"message\":\"no time\"}\n"
-		lines, passed, err := explain.Read(strings.NewReader(text), "x")
-		if len(lines) != 0 || passed != 3 || err != nil {
-			t.Errorf("%d lines, %d passed over, %v", len(lines), passed, err)
+		lines, skipped, err := explain.Read(strings.NewReader(text), "x")
+		if len(lines) != 0 || skipped != 3 || err != nil {
+			t.Errorf("got %d lines, %d skipped, error %v; want 0, 3 and no error", len(lines), skipped, err)
 		}
 	})
-	t.Run("a line without end", func(t *testing.T) {
+	t.Run("line too long", func(t *testing.T) {
 		_, _, err := explain.Read(strings.NewReader(strings.Repeat("x", 2<<20)), "long.log")
 		var bad *explain.LogError
 		if !errors.As(err, &bad) || bad.Name != "long.log" {
--- a/explain/line.go
+++ b/explain/line.go
@@ -10,49 +10,49 @@
 	"time"
 )
 
-// maxLine bounds a line of a log; a longer one is an error of the file.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line. Read fails on a longer one.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	Time    time.Time      `json:"time"`
-	Box     string         `json:"box"` // whose log it is
+	Box     string         `json:"box"` // the box that wrote the line
 	Message string         `json:"message"`
 	Job     string         `json:"job,omitempty"`
-	Fields  map[string]any `json:"fields,omitempty"` // all others
+	Fields  map[string]any `json:"fields,omitempty"` // the fields not listed above, except level and part
 }
 
-// LogError says that a log cannot be read.
+// LogError reports that a log could not be read.
 type LogError struct {
 	Name  string
 	Cause error
 }
 
-func (e *LogError) Error() string { return fmt.Sprintf("%s: %v", e.Name, e.Cause) }
+func (e *LogError) Error() string { return fmt.Sprintf("reading log %s: %v", e.Name, e.Cause) }
 
 func (e *LogError) Unwrap() error { return e.Cause }
 
-// Read reads a log: JSON objects, one a line. A collector may have put words before
-// each, of which the last one that is no number names the box; otherwise name does.
-// Lines that are no log lines are passed over and counted.
-func Read(r io.Reader, name string) (lines []Line, passed int, err error) {
+// Read parses a log with one JSON object per line. A line may have a prefix added by a log
+// collector: the last word of it that contains a lower-case letter names the box. Without
+// such a word, the box is name. Lines that are not log lines are skipped and counted.
+func Read(r io.Reader, name string) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Text(), name)
+		line, ok := parseLine(scanner.Text(), name)
 		if !ok {
-			passed++
+			skipped++
 			continue
 		}
 		lines = append(lines, line)
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, passed, &LogError{name, err}
+		return nil, skipped, &LogError{name, err}
 	}
-	return lines, passed, nil
+	return lines, skipped, nil
 }
 
-func parse(text, name string) (Line, bool) {
+func parseLine(text, name string) (Line, bool) {
 	begin := strings.IndexByte(text, '{')
 	if begin < 0 {
 		return Line{}, false
@@ -61,7 +61,7 @@
 	if json.Unmarshal([]byte(text[begin:]), &fields) != nil {
 		return Line{}, false
 	}
-	line := Line{Box: boxOf(text[:begin], name), Fields: fields}
+	line := Line{Box: boxName(text[:begin], name), Fields: fields}
 	line.Message, _ = fields["message"].(string)
 	line.Job, _ = fields["job"].(string)
 	stamp, _ := fields["time"].(string)
@@ -76,7 +76,7 @@
 	return line, true
 }
 
-func boxOf(prefix, name string) string {
+func boxName(prefix, name string) string {
 	words := strings.Fields(prefix)
 	slices.Reverse(words)
 	for _, word := range words {
@@ -87,14 +87,14 @@
 	return name
 }
 
-// text returns a field that is a text.
-func (l Line) text(key string) string {
+// stringField returns a string field, or "" if it is missing or of another type.
+func (l Line) stringField(key string) string {
 	text, _ := l.Fields[key].(string)
 	return text
 }
 
-// texts returns a field that is a list of texts.
-func (l Line) texts(key string) []string {
+// stringsField returns the strings in an array field.
+func (l Line) stringsField(key string) []string {
 	list, _ := l.Fields[key].([]any)
 	var texts []string
 	for _, item := range list {
@@ -105,8 +105,8 @@
 	return texts
 }
 
-// duration returns a field that is a time in milliseconds.
-func (l Line) duration(key string) time.Duration {
+// durationField returns a numeric field in milliseconds as a duration.
+func (l Line) durationField(key string) time.Duration {
 	ms, _ := l.Fields[key].(float64)
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// Cause is what held a job up for the longest time.
+// Cause is the largest contribution to a job's delay.
 type Cause string
 
-// The causes of losses.
+// Causes of a Loss.
 const (
 	CauseRefused    Cause = "refused, the store was down"
 	CauseNotWritten Cause = "not final, or not written"
 	CauseStore      Cause = "transactions took long"
 	CauseNoOwner    Cause = "no owner"
 	CauseAttempts   Cause = "attempts failed or were lost"
-	CauseGaveWay    Cause = "gave way to urgent work"
+	CausePreempted  Cause = "gave way to urgent work"
 	CauseQuota      Cause = "its account was at its quota"
 	CauseEvacuated  Cause = "waited while data halls were evacuated"
-	CauseWaited     Cause = "waited for room or advice"
-	CauseRan        Cause = "ran for long"
+	CausePlacement  Cause = "waited for room or advice"
+	CauseLongRun    Cause = "ran for long"
 )
 
-// Saveable reports whether a scheduler could have done something about a loss of this
-// cause: nothing can be accepted or completed while the store is down, and an operator sets
-// quotas.
+// Saveable reports whether better scheduling could have avoided a loss with this cause. Jobs
+// can be neither accepted nor completed while the store is down, and quotas are set by the
+// operator.
 func (c Cause) Saveable() bool {
 	return c != CauseRefused && c != CauseStore && c != CauseNotWritten && c != CauseQuota
 }
 
-// Loss counts the jobs of a queue that came in one window and were late, refused or
-// never final for one cause.
+// Loss counts the jobs of one queue, submitted in one window, that were late, refused or
+// never final for the same cause.
 type Loss struct {
 	Queue  string        `json:"queue"`
-	Window time.Duration `json:"window"` // its begin, after the zero time
+	Window time.Duration `json:"window"` // start, relative to the zero time
 	Cause  Cause         `json:"cause"`
 	Jobs   int           `json:"jobs"`
 }
 
-// span is a time from one moment to another.
+// span is a time interval.
 type span struct{ from, to time.Time }
 
-// overlap returns how much of a span lies in others, which do not overlap each other.
+// overlap returns how much of s is covered by others, which must not overlap each other.
 func (s span) overlap(others []span) time.Duration {
 	total := time.Duration(0)
 	for _, other := range others {
@@ -58,15 +58,15 @@
 	return total
 }
 
-// Losses finds in the lines of all boxes the jobs that were not completed in time, and
-// what held each up for the longest. Windows of a length are counted from a zero time.
+// Losses returns the jobs that were not completed in time, counted by window, queue and cause.
+// lines are those of all boxes. Windows have the given length and start at zero.
 func Losses(lines []Line, zero time.Time, window time.Duration) []Loss {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	causes := dayCauses{slow: slowSpans(lines), ownerless: ownerlessSpans(lines), evacuated: evacuatedSpans(lines)}
+	common := commonDelays{slowTransactions: slowTransactionSpans(lines), ownerless: ownerlessSpans(lines), evacuated: evacuatedSpans(lines)}
 	counts := map[Loss]int{}
-	for _, own := range byJob(lines) {
-		cause, at, lost := causes.of(own)
+	for _, own := range linesByJob(lines) {
+		cause, at, lost := common.classify(own)
 		if lost {
 			begin := at.Sub(zero).Truncate(window)
 			counts[Loss{Queue: queueOf(own), Window: begin, Cause: cause}]++
@@ -83,8 +83,8 @@
 	return losses
 }
 
-// byJob returns the lines of each job, in the order of time.
-func byJob(lines []Line) map[string][]Line {
+// linesByJob groups lines by job and keeps their order.
+func linesByJob(lines []Line) map[string][]Line {
 	jobs := map[string][]Line{}
 	for _, line := range lines {
 		if line.Job != "" {
@@ -96,26 +96,26 @@
 
 func queueOf(own []Line) string {
 	for _, line := range own {
-		if queue := line.text("queue"); queue != "" {
+		if queue := line.stringField("queue"); queue != "" {
 			return queue
 		}
 	}
 	return ""
 }
 
-// slowSpans returns the times of transactions that took long.
-func slowSpans(lines []Line) []span {
+// slowTransactionSpans returns the periods of slow store transactions.
+func slowTransactionSpans(lines []Line) []span {
 	var spans []span
 	for _, line := range lines {
 		if line.Message == "slow transaction" {
-			spans = append(spans, span{line.Time.Add(-line.duration("took")), line.Time})
+			spans = append(spans, span{line.Time.Add(-line.durationField("took")), line.Time})
 		}
 	}
 	return spans
 }
 
-// ownerlessSpans returns the times from an owner's last decision to the moment at which
-// its successor had loaded the shard.
+// ownerlessSpans returns the periods from the last decision of a shard owner until its
+// successor had loaded the shard.
 func ownerlessSpans(lines []Line) []span {
 	var spans []span
 	var last time.Time
@@ -132,108 +132,109 @@
 	return spans
 }
 
-// dayCauses are the times of a day that hold all jobs up.
-type dayCauses struct{ slow, ownerless, evacuated []span }
+// commonDelays holds the periods that delay all jobs.
+type commonDelays struct{ slowTransactions, ownerless, evacuated []span }
 
-// of returns what held a job up and when it came, if it was lost.
-func (d dayCauses) of(own []Line) (cause Cause, came time.Time, lost bool) {
-	came = own[0].Time
+// classify returns the cause of a loss and when the job was submitted. lost is false for a job
+// that was cancelled or became final in time.
+func (d commonDelays) classify(own []Line) (cause Cause, submitted time.Time, lost bool) {
+	submitted = own[0].Time
 	final := slices.IndexFunc(own, func(l Line) bool { return l.Message == "job is final" })
 	if final < 0 {
-		if slices.ContainsFunc(own, func(l Line) bool { return l.Message == givenBack }) {
-			return CauseRefused, came, true
+		if slices.ContainsFunc(own, func(l Line) bool { return l.Message == msgGivenBack }) {
+			return CauseRefused, submitted, true
 		}
 		if slices.ContainsFunc(own, func(l Line) bool { return l.Message == "accepted" }) {
-			return CauseNotWritten, came, true
+			return CauseNotWritten, submitted, true
 		}
 		if slices.ContainsFunc(own, refusedForQuota) {
-			return CauseQuota, came, true
+			return CauseQuota, submitted, true
 		}
-		return CauseRefused, came, true
+		return CauseRefused, submitted, true
 	}
 	line := own[final]
-	came = line.Time.Add(-line.duration("age"))
+	submitted = line.Time.Add(-line.durationField("age"))
 	late, _ := line.Fields["late"].(bool)
-	if line.text("state") == "cancelled" || !late {
-		return "", came, false
+	if line.stringField("state") == "cancelled" || !late {
+		return "", submitted, false
 	}
-	return d.longest(own[:final], span{came, line.Time}), came, true
+	return d.mainCause(own[:final], span{submitted, line.Time}), submitted, true
 }
 
-// longest returns what took the most of a late job's life.
-func (d dayCauses) longest(own []Line, life span) Cause {
-	wait, retried, yielded := heldUp(own, life.from)
-	held := heldByQuota(own, life.to)
-	waited := wait.to.Sub(wait.from) - wait.overlap(d.slow) - wait.overlap(d.ownerless) - wait.overlap(held)
-	short := min(waited, wait.overlap(d.evacuated))
-	type share struct {
+// mainCause returns the cause of the largest delay of a late job.
+func (d commonDelays) mainCause(own []Line, lifetime span) Cause {
+	wait, retried, preempted := attemptDelays(own, lifetime.from)
+	held := quotaSpans(own, lifetime.to)
+	waited := wait.to.Sub(wait.from) - wait.overlap(d.slowTransactions) - wait.overlap(d.ownerless) - wait.overlap(held)
+	evacuatedWait := min(waited, wait.overlap(d.evacuated))
+	type delay struct {
 		cause Cause
 		time  time.Duration
 	}
-	shares := []share{
-		{CauseStore, life.overlap(d.slow)},
-		{CauseNoOwner, life.overlap(d.ownerless)},
+	delays := []delay{
+		{CauseStore, lifetime.overlap(d.slowTransactions)},
+		{CauseNoOwner, lifetime.overlap(d.ownerless)},
 		{CauseAttempts, retried},
-		{CauseGaveWay, yielded},
-		{CauseQuota, life.overlap(held)},
-		{CauseEvacuated, short},
-		{CauseWaited, waited - short},
+		{CausePreempted, preempted},
+		{CauseQuota, lifetime.overlap(held)},
+		{CauseEvacuated, evacuatedWait},
+		{CausePlacement, waited - evacuatedWait},
 	}
-	most := slices.MaxFunc(shares, func(a, b share) int { return cmp.Compare(a.time, b.time) })
-	if most.time < leastShare {
-		return CauseRan
+	largest := slices.MaxFunc(delays, func(a, b delay) int { return cmp.Compare(a.time, b.time) })
+	if largest.time < minDelay {
+		return CauseLongRun
 	}
-	return most.cause
+	return largest.cause
 }
 
-// leastShare is the time from which something counts as having held a job up: less is
-// in every job's life.
-const leastShare = 100 * time.Millisecond
+// minDelay is the shortest delay that is reported as a cause. Shorter ones occur in every job.
+const minDelay = 100 * time.Millisecond
 
-// heldByQuota returns the times in which the quota of its account held a step of a job back,
-// until the job's end at the latest. Those of several steps are joined.
-func heldByQuota(own []Line, end time.Time) []span {
+// quotaSpans returns the periods in which a step of the job waited for its account's quota,
+// cut off at end. Waits of several steps are merged.
+func quotaSpans(own []Line, end time.Time) []span {
 	var spans []span
-	begun := time.Time{}
+	start := time.Time{}
 	for _, line := range own {
 		switch line.Message {
-		case quotaHolds:
-			if begun.IsZero() {
-				begun = line.Time
+		case msgQuotaWait:
+			if start.IsZero() {
+				start = line.Time
 			}
-		case quotaLetsGo:
-			if !begun.IsZero() {
-				spans = append(spans, span{begun, line.Time})
+		case msgQuotaRoom:
+			if !start.IsZero() {
+				spans = append(spans, span{start, line.Time})
 			}
-			begun = time.Time{}
+			start = time.Time{}
 		}
 	}
-	if !begun.IsZero() {
-		spans = append(spans, span{begun, end})
+	if !start.IsZero() {
+		spans = append(spans, span{start, end})
 	}
 	return spans
 }
 
-// givenBack is the message of lines on jobs that were taken, and given back in an outage of
-// the store before it held them.
-const givenBack = "given back"
+// msgGivenBack is logged for an accepted job that was returned to its caller during a store
+// outage, before it was stored.
+const msgGivenBack = "given back"
 
-// Messages of lines on quotas.
+// Log messages about account quotas.
 const (
-	quotaHolds  = "waits for its account's quota"
-	quotaLetsGo = "its account's quota has room"
+	msgQuotaWait = "waits for its account's quota"
+	msgQuotaRoom = "its account's quota has room"
 )
 
-// refusedForQuota reports whether a line says that a job could never fit its account's quota.
+// refusedForQuota reports whether the line logs a job refused because it exceeds its account's
+// quota.
 func refusedForQuota(line Line) bool {
-	return line.Message == "refused" && line.text("account") != ""
+	return line.Message == "refused" && line.stringField("account") != ""
 }
 
-// heldUp returns from when to when a job waited for its first grant, and what attempts
-// that did not end well cost it.
-func heldUp(own []Line, came time.Time) (wait span, retried, yielded time.Duration) {
-	wait = span{came, came}
-	granted, gaveWay := time.Time{}, false
+// attemptDelays returns the period in which a job waited for its first grant, and the longest
+// time that it lost to an unsuccessful attempt and to a preempted one.
+func attemptDelays(own []Line, submitted time.Time) (wait span, retried, preempted time.Duration) {
+	wait = span{submitted, submitted}
+	granted, stopping := time.Time{}, false
 	for _, line := range own {
 		switch line.Message {
 		case "granted":
@@ -242,15 +243,15 @@
 			}
 			granted = line.Time
 		case "stopping":
-			gaveWay = true
+			stopping = true
 		case "attempt over":
 			cost := line.Time.Sub(granted)
-			if gaveWay {
-				yielded = max(yielded, cost)
+			if stopping {
+				preempted = max(preempted, cost)
 			} else {
 				retried = max(retried, cost)
 			}
 		}
 	}
-	return wait, retried, yielded
+	return wait, retried, preempted
 }
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -9,7 +9,8 @@
 	"chutereach/explain"
 )
 
-// logOf makes a log from lines "SECONDS BOX MESSAGE FIELDS", the fields as JSON.
+// logOf parses a log given as lines "SECONDS|BOX|MESSAGE|FIELDS", with FIELDS the members of a
+// JSON object.
 func logOf(t *testing.T, texts ...string) []explain.Line {
 	t.Helper()
 	var log strings.Builder
@@ -26,9 +27,9 @@
 		}
 		fmt.Fprintf(&log, "%s {%s\"time\":%q,\"message\":%q}\n", parts[1], fields, stamp, parts[2])
 	}
-	lines, passed, err := explain.Read(strings.NewReader(log.String()), "box")
-	if err != nil || passed > 0 {
-		t.Fatalf("%v, %d lines passed over", err, passed)
+	lines, skipped, err := explain.Read(strings.NewReader(log.String()), "box")
+	if err != nil || skipped > 0 {
+		t.Fatalf("error %v, %d lines skipped", err, skipped)
 	}
 	return lines
 }
@@ -41,24 +42,24 @@
 	cases := []struct {
 		name  string
 		lines []string
-		want  explain.Cause // empty: nothing is lost
+		want  explain.Cause // empty if no loss is expected
 	}{
 		{"in time", []string{accepted, granted, `3|a|job is final|"job":"j","queue":"q","state":"completed","late":false,"age":2000`}, ""},
 		{"cancelled", []string{accepted, `3|a|job is final|"job":"j","queue":"q","state":"cancelled","late":true,"age":2000`}, ""},
-		{"a slow store", []string{accepted, `2.2|a|slow transaction|"took":1100`, granted, `3|a|job is final|` + lateAfterTwo}, explain.CauseStore},
-		{"a takeover", []string{accepted, `2.5|b|shard loaded|"took":30`, `2.55|b|granted|"job":"j"`, `3|b|job is final|` + lateAfterTwo}, explain.CauseNoOwner},
-		{"a failed attempt", []string{accepted, granted, `2|a|attempt over|"job":"j","outcome":"failed"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseAttempts},
-		{"a task that gave way", []string{accepted, granted, `1.5|a|stopping|"job":"j"`, `2|a|attempt over|"job":"j","outcome":"stopped"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseGaveWay},
-		{"no room", []string{accepted, `2|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseWaited},
-		{"its account's quota", []string{accepted, `1.1|a|waits for its account's quota|"job":"j","account":"x"`, `2|a|its account's quota has room|"job":"j","waited":900`, `2.05|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseQuota},
-		{"its account's quota to the end", []string{accepted, granted, `1.1|a|waits for its account's quota|"job":"j","account":"x"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseQuota},
-		{"refused for its quota", []string{`1|a|refused|"job":"j","queue":"q","account":"x","error":"not taken: step 0 needs more"`}, explain.CauseQuota},
-		{"an evacuated data hall", []string{`0.5|a|evacuated data halls|"version":7,"halls":["h"],"before":[]`, `0.6|b|evacuated data halls|"version":7,"halls":["h"],"before":[]`, accepted, `1.9|a|evacuated data halls|"version":9,"halls":[],"before":["h"]`, `2|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseEvacuated},
-		{"no room after an evacuation", []string{`0.5|a|evacuated data halls|"version":7,"halls":["h"],"before":[]`, `0.9|a|evacuated data halls|"version":9,"halls":[],"before":["h"]`, accepted, `2|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseWaited},
-		{"long work", []string{accepted, granted, `3|a|job is final|` + lateAfterTwo}, explain.CauseRan},
+		{"slow store", []string{accepted, `2.2|a|slow transaction|"took":1100`, granted, `3|a|job is final|` + lateAfterTwo}, explain.CauseStore},
+		{"takeover", []string{accepted, `2.5|b|shard loaded|"took":30`, `2.55|b|granted|"job":"j"`, `3|b|job is final|` + lateAfterTwo}, explain.CauseNoOwner},
+		{"failed attempt", []string{accepted, granted, `2|a|attempt over|"job":"j","outcome":"failed"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseAttempts},
+		{"preempted task", []string{accepted, granted, `1.5|a|stopping|"job":"j"`, `2|a|attempt over|"job":"j","outcome":"stopped"`, `3|a|job is final|` + lateAfterTwo}, explain.CausePreempted},
+		{"no capacity", []string{accepted, `2|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CausePlacement},
+		{"account quota", []string{accepted, `1.1|a|waits for its account's quota|"job":"j","account":"x"`, `2|a|its account's quota has room|"job":"j","waited":900`, `2.05|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseQuota},
+		{"account quota until the end", []string{accepted, granted, `1.1|a|waits for its account's quota|"job":"j","account":"x"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseQuota},
+		{"refused for account quota", []string{`1|a|refused|"job":"j","queue":"q","account":"x","error":"not taken: step 0 needs more"`}, explain.CauseQuota},
+		{"evacuated data hall", []string{`0.5|a|evacuated data halls|"version":7,"halls":["h"],"before":[]`, `0.6|b|evacuated data halls|"version":7,"halls":["h"],"before":[]`, accepted, `1.9|a|evacuated data halls|"version":9,"halls":[],"before":["h"]`, `2|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CauseEvacuated},
+		{"no capacity after an evacuation", []string{`0.5|a|evacuated data halls|"version":7,"halls":["h"],"before":[]`, `0.9|a|evacuated data halls|"version":9,"halls":[],"before":["h"]`, accepted, `2|a|granted|"job":"j"`, `3|a|job is final|` + lateAfterTwo}, explain.CausePlacement},
+		{"long run", []string{accepted, granted, `3|a|job is final|` + lateAfterTwo}, explain.CauseLongRun},
 		{"refused", []string{`1|a|refused|"job":"j","queue":"q"`}, explain.CauseRefused},
 		{"given back", []string{accepted, `2|a|given back|"job":"j","queue":"q"`}, explain.CauseRefused},
-		{"given back, and handed in again", []string{accepted, `2|a|given back|"job":"j","queue":"q"`, `2.5|a|accepted|"job":"j","queue":"q"`, granted, `3|a|job is final|"job":"j","queue":"q","state":"completed","late":false,"age":500`}, ""},
+		{"given back and submitted again", []string{accepted, `2|a|given back|"job":"j","queue":"q"`, `2.5|a|accepted|"job":"j","queue":"q"`, granted, `3|a|job is final|"job":"j","queue":"q","state":"completed","late":false,"age":500`}, ""},
 		{"never final", []string{accepted, granted}, explain.CauseNotWritten},
 	}
 	for _, test := range cases {
@@ -66,7 +67,7 @@
 			losses := explain.Losses(logOf(t, test.lines...), time.Unix(1000, 0), 2*time.Second)
 			if test.want == "" {
 				if len(losses) != 0 {
-					t.Errorf("got %+v, want nothing", losses)
+					t.Errorf("got %+v, want no losses", losses)
 				}
 				return
 			}
