--- a/fleet/fleettest/judge.go
+++ b/fleet/fleettest/judge.go
@@ -71,16 +71,16 @@
 	if !w.fits(used, f.grace) {
 		f.violation("%s brings %s to %v, over its capacity %v", task, w.info.ID, used, w.info.Capacity)
 	}
-	if step.PerWorker > 0 && perWorker > step.PerWorker {
-		f.violation("%s is one of %d tasks of its step on %s, limit %d", task, perWorker, w.info.ID, step.PerWorker)
+	if step.MaxPerWorker > 0 && perWorker > step.MaxPerWorker {
+		f.violation("%s is one of %d tasks of its step on %s, limit %d", task, perWorker, w.info.ID, step.MaxPerWorker)
 	}
-	if !w.info.HasLabel(step.Label) {
-		f.violation("%s was started on %s, which lacks the label %s", task, w.info.ID, step.Label)
+	if !w.info.HasLabel(step.RequiredLabel) {
+		f.violation("%s was started on %s, which lacks the label %s", task, w.info.ID, step.RequiredLabel)
 	}
 	if owner, _, saved := strings.Cut(order.Checkpoint, "@"); saved && owner != task.StepName() {
 		f.violation("%s was given the checkpoint %s of another step", task, order.Checkpoint)
 	}
-	for _, dependency := range step.After {
+	for _, dependency := range step.DependsOn {
 		for index := range kind.Request.Steps[dependency].Count {
 			predecessor := workload.TaskID{Job: task.Job, Round: task.Round, Step: dependency, Index: index}
 			if !f.hasSucceeded(predecessor.String()) {
