--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -81,7 +81,7 @@
 		},
 		OnOwnershipChange: collectFor,
 	}, node.Platform{
-		Store: d.store, Workers: platform.NewWorkers().WithMost(workerConnections(set.Self.Descriptors)), Advisor: d.advisor,
+		Store: d.store, Workers: platform.NewWorkers().WithMaxConns(workerConnections(set.Self.Descriptors)), Advisor: d.advisor,
 		FollowWorkers: directory.FollowWorkers, FollowOrders: directory.FollowOperator,
 	}, peer.NewPlainClient(), metrics, logs.For(log, logs.Node))
 	return d, d.listen(metrics, directory.Var(), missed)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -50,7 +50,7 @@
 	return lines
 }
 
-func TestTell(t *testing.T) {
+func TestJobHistory(t *testing.T) {
 	lines := append(read(t, logTwo, "two"), read(t, logOne, "one")...)
 	for _, c := range []struct {
 		job   string
@@ -65,7 +65,7 @@
 		{"f6", []string{"returned to its caller as not accepted: the store had not answered for 910ms", "did not answer 1 boxes"}, 5},
 	} {
 		t.Run(c.job, func(t *testing.T) {
-			story, err := explain.Tell(lines, c.job)
+			story, err := explain.JobHistory(lines, c.job)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,7 +89,7 @@
 		})
 	}
 	t.Run("unknown", func(t *testing.T) {
-		_, err := explain.Tell(lines, "ff")
+		_, err := explain.JobHistory(lines, "ff")
 		var unknown *explain.UnknownJobError
 		if !errors.As(err, &unknown) || unknown.Job != "ff" {
 			t.Errorf("got %v", err)
@@ -99,7 +99,7 @@
 
 // Guards against an evacuation missing from the summary of a job that it delayed, or reported
 // once per box.
-func TestTellEvacuatedHall(t *testing.T) {
+func TestJobHistoryEvacuatedHall(t *testing.T) {
 	const log = `edge-1 {"time":"2026-12-02T10:00:00.1Z","message":"evacuated data halls","version":7,"halls":["north"],"before":[]}
 edge-2 {"time":"2026-12-02T10:00:00.2Z","message":"evacuated data halls","version":7,"halls":["north"],"before":[]}
 edge-1 {"time":"2026-12-02T10:00:00.3Z","message":"accepted","job":"a1","queue":"q"}
@@ -107,7 +107,7 @@
 edge-1 {"time":"2026-12-02T10:00:00.5Z","message":"start held back","job":"a1","task":"a1.0.0.0","worker":"w-1","hall":"north","why":"its data hall is evacuated"}
 edge-1 {"time":"2026-12-02T10:00:00.9Z","message":"job is final","job":"a1","state":"completed","late":true,"age":600,"why":"every task is done"}
 `
-	story, err := explain.Tell(read(t, log, "x"), "a1")
+	story, err := explain.JobHistory(read(t, log, "x"), "a1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 			return
 		}
 		for _, line := range lines {
-			explain.Tell(lines, line.Job)
+			explain.JobHistory(lines, line.Job)
 		}
 	})
 }
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -23,10 +23,10 @@
 	CauseLongRun    Cause = "ran for long"
 )
 
-// Saveable reports whether better scheduling could have avoided a loss with this cause. Jobs
+// Avoidable reports whether better scheduling could have avoided a loss with this cause. Jobs
 // can be neither accepted nor completed while the store is down, and quotas are set by the
 // operator.
-func (c Cause) Saveable() bool {
+func (c Cause) Avoidable() bool {
 	return c != CauseRefused && c != CauseStore && c != CauseNotWritten && c != CauseQuota
 }
 
--- a/explain/story.go
+++ b/explain/story.go
@@ -17,8 +17,8 @@
 	msgHallsEvacuated, msgEvacuationsUnconfirmed, msgEvacuationsConfirmed,
 }
 
-// Story is the history of a job.
-type Story struct {
+// History is the history of a job.
+type History struct {
 	Job     string   `json:"job"`
 	Lines   []Line   `json:"lines"`   // in time order
 	Summary []string `json:"summary"` // sentences, starting with the outcome
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("no log line mentions job %s: it reached no shard owner, or its lines were dropped (see log_lines_left_out)", e.Job)
 }
 
-// Tell reconstructs the history of a job from the log lines of all boxes.
-func Tell(lines []Line, job string) (Story, error) {
+// JobHistory reconstructs the history of a job from the log lines of all boxes.
+func JobHistory(lines []Line, job string) (History, error) {
 	var own []Line
 	for _, line := range lines {
 		if line.Job == job {
@@ -40,7 +40,7 @@
 		}
 	}
 	if len(own) == 0 {
-		return Story{}, &UnknownJobError{job}
+		return History{}, &UnknownJobError{job}
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
 	slices.SortStableFunc(own, byTime)
@@ -57,7 +57,7 @@
 	merged = append(merged, others...)
 	others = slices.DeleteFunc(others, func(l Line) bool { return l.Time.After(own[len(own)-1].Time) })
 	slices.SortStableFunc(merged, byTime)
-	return Story{Job: job, Lines: merged, Summary: summarize(own, others)}, nil
+	return History{Job: job, Lines: merged, Summary: summarize(own, others)}, nil
 }
 
 // dropRepeatedVersions keeps only the first line for each version of the configuration and of
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -13,24 +13,24 @@
 	"chutereach/resource"
 )
 
-// Life identifies one incarnation of a worker: one run of its process. A restarted worker may
+// Incarnation identifies one incarnation of a worker: one run of its process. A restarted worker may
 // keep its id, but it has no state of the former incarnation, and its clock and the sequence
 // numbers of its ended attempts start over.
-type Life struct {
+type Incarnation struct {
 	ID string
-	// Born is the start time of the process in Unix milliseconds, by the wall clock of the
+	// StartTime is the start time of the process in Unix milliseconds, by the wall clock of the
 	// worker's machine. That clock can step back: compare for equality only. 0: unknown.
-	Born int64
+	StartTime int64
 }
 
-// Known reports whether the start time of the process is known.
-func (l Life) Known() bool { return l.Born != 0 }
+// HasStartTime reports whether the start time of the process is known.
+func (l Incarnation) HasStartTime() bool { return l.StartTime != 0 }
 
-func (l Life) String() string { return fmt.Sprintf("%s since %d", l.ID, l.Born) }
+func (l Incarnation) String() string { return fmt.Sprintf("%s since %d", l.ID, l.StartTime) }
 
 // Worker describes one incarnation of a machine that runs tasks.
 type Worker struct {
-	Life
+	Incarnation
 	Service  string // the pool it belongs to
 	Address  string
 	Zone     string
@@ -44,7 +44,7 @@
 
 // Equal reports whether both describe the same incarnation and all fields are equal.
 func (w Worker) Equal(other Worker) bool {
-	return w.Life == other.Life && w.Service == other.Service && w.Address == other.Address && w.Zone == other.Zone &&
+	return w.Incarnation == other.Incarnation && w.Service == other.Service && w.Address == other.Address && w.Zone == other.Zone &&
 		w.Rack == other.Rack && slices.Equal(w.Labels, other.Labels) && w.Capacity == other.Capacity &&
 		w.Draining == other.Draining && w.Remaining == other.Remaining
 }
@@ -70,12 +70,12 @@
 
 // Outcomes of attempts.
 const (
-	Done    Outcome = "done"
-	Failed  Outcome = "failed"
-	Stopped Outcome = "stopped"
-	Lapsed  Outcome = "lapsed" // its lease expired
-	Broken  Outcome = "broken" // another member of its gang ended first
-	Alone   Outcome = "alone"  // the other members of its gang did not start in time
+	Done           Outcome = "done"
+	Failed         Outcome = "failed"
+	Stopped        Outcome = "stopped"
+	LeaseExpired   Outcome = "lapsed" // its lease expired
+	GangBroken     Outcome = "broken" // another member of its gang ended first
+	GangIncomplete Outcome = "alone"  // the other members of its gang did not start in time
 )
 
 // Attempt is a running attempt in a worker's report.
@@ -86,9 +86,9 @@
 	Percent    int
 }
 
-// End is an ended attempt in a worker's report. Sequence starts at 1 in each incarnation and
+// EndedAttempt is an ended attempt in a worker's report. Sequence starts at 1 in each incarnation and
 // increases.
-type End struct {
+type EndedAttempt struct {
 	Sequence   uint64
 	Task       string
 	Number     int
@@ -98,14 +98,14 @@
 
 // Report is a worker's answer to a HoldOrder.
 type Report struct {
-	Born    int64 // start time of the incarnation that answered, as in Life; 0: not reported
-	Clock   Clock
-	Running []Attempt
-	Ended   []End
-	// Unread is the number of rows that could not be decoded. If UnreadFrom is not 0, an ended
+	StartTime int64 // start time of the incarnation that answered, as in Life; 0: not reported
+	Clock     Clock
+	Running   []Attempt
+	Ended     []EndedAttempt
+	// UndecodedRows is the number of rows that could not be decoded. If UnreadFrom is not 0, an ended
 	// attempt could not be decoded: those from that sequence number on must not be acknowledged.
-	Unread     int
-	UnreadFrom uint64
+	UndecodedRows int
+	UndecodedFrom uint64
 }
 
 // StartOrder asks a worker to start an attempt. Workers refuse it after Deadline.
@@ -130,10 +130,10 @@
 // be sent when an attempt ends or after Wait. It acknowledges the ended attempts up to sequence
 // number Noted of the incarnation that it is addressed to; the worker stops reporting them.
 type HoldOrder struct {
-	Token    uint64 // fencing token
-	Noted    uint64
-	Deadline Clock // 0: the lease is not renewed
-	Wait     time.Duration
+	Token        uint64 // fencing token
+	AckedThrough uint64
+	Deadline     Clock // 0: the lease is not renewed
+	Wait         time.Duration
 }
 
 // Client calls workers. Its errors are RefusedError, ReplacedError, BusyError and
@@ -152,12 +152,12 @@
 
 // Reasons for refusing an order.
 const (
-	Fenced   Reason = "fence"  // the worker has seen a higher fencing token
-	Outdated Reason = "old"    // an attempt with this number or a higher one has ended there
-	Late     Reason = "late"   // the order's deadline has passed
-	NoRoom   Reason = "room"   // insufficient free capacity
-	NoTicket Reason = "ticket" // the ticket is missing or has expired
-	Invalid  Reason = "invalid"
+	Fenced               Reason = "fence"  // the worker has seen a higher fencing token
+	StaleAttempt         Reason = "old"    // an attempt with this number or a higher one has ended there
+	DeadlinePassed       Reason = "late"   // the order's deadline has passed
+	InsufficientCapacity Reason = "room"   // insufficient free capacity
+	InvalidTicket        Reason = "ticket" // the ticket is missing or has expired
+	Invalid              Reason = "invalid"
 )
 
 // RefusedError is returned when a worker refused an order and did not execute it.
@@ -176,39 +176,41 @@
 	return fmt.Sprintf("worker %s has been replaced: another process answers at its address", e.ID)
 }
 
-// BusyError is returned when a worker is temporarily unavailable and did not execute the call.
-type BusyError struct{ ID string }
+// UnavailableError is returned when a worker is temporarily unavailable and did not execute the call.
+type UnavailableError struct{ ID string }
 
-func (e *BusyError) Error() string { return fmt.Sprintf("worker %s is temporarily unavailable", e.ID) }
+func (e *UnavailableError) Error() string {
+	return fmt.Sprintf("worker %s is temporarily unavailable", e.ID)
+}
 
-// UnansweredError is returned when a call got no valid response. Unless Unsent is set, the
+// NoResponseError is returned when a call got no valid response. Unless Unsent is set, the
 // worker may have executed it, or may still do so.
-type UnansweredError struct {
+type NoResponseError struct {
 	Cause error
 	// Unsent is set if the call certainly did not reach the worker.
 	Unsent bool
-	// Closed is set if the worker's machine closed or refused the connection, as it does when
+	// ConnectionClosed is set if the worker's machine closed or refused the connection, as it does when
 	// the worker's process has ended.
-	Closed bool
+	ConnectionClosed bool
 }
 
 // IsUnsent reports whether err says that the call certainly did not reach the worker.
 func IsUnsent(err error) bool {
-	var unanswered *UnansweredError
+	var unanswered *NoResponseError
 	return errors.As(err, &unanswered) && unanswered.Unsent
 }
 
-// IsClosed reports whether err says that the worker's machine closed or refused the connection.
-func IsClosed(err error) bool {
-	var unanswered *UnansweredError
-	return errors.As(err, &unanswered) && unanswered.Closed
+// IsConnectionClosed reports whether err says that the worker's machine closed or refused the connection.
+func IsConnectionClosed(err error) bool {
+	var unanswered *NoResponseError
+	return errors.As(err, &unanswered) && unanswered.ConnectionClosed
 }
 
-func (e *UnansweredError) Error() string {
+func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("no valid response from worker: %v", e.Cause)
 }
 
-func (e *UnansweredError) Unwrap() error { return e.Cause }
+func (e *NoResponseError) Unwrap() error { return e.Cause }
 
 // Advice lists the workers that may run a step, with a ticket for each. Tickets are valid for
 // Valid from the time of the response. Workers that the request named and Tickets does not may
--- a/fleet/fleettest/capacity.go
+++ b/fleet/fleettest/capacity.go
@@ -9,9 +9,9 @@
 // resizeGrace is the default grace of SetResizeGrace: two intervals at which tests poll discovery.
 const resizeGrace = time.Second
 
-// SetResizeGrace sets how long after a Resize starts may still rely on the former capacity, and
+// SetGrace sets how long after a Resize starts may still rely on the former capacity, and
 // how long after a SetQuota on the former quota.
-func (f *Fleet) SetResizeGrace(grace time.Duration) {
+func (f *Fleet) SetGrace(grace time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.grace = grace
--- a/fleet/fleettest/crash.go
+++ b/fleet/fleettest/crash.go
@@ -40,9 +40,9 @@
 	f.restart(w)
 }
 
-// SetStartAgain makes workers that are crashed by tasks restart under the same id after a
+// SetSameIDRestart makes workers that are crashed by tasks restart under the same id after a
 // pause. By default they restart under a new id.
-func (f *Fleet) SetStartAgain(pause time.Duration) {
+func (f *Fleet) SetSameIDRestart(pause time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sameIDRestartDelay = pause
@@ -71,26 +71,26 @@
 	w.refusesConnections = true
 	f.terminate(w)
 	f.restarts++
-	f.observer.Ended(w.info.ID)
+	f.observer.ProcessEnded(w.info.ID)
 	next := w.info
 	next.ID = fmt.Sprintf("%s-life-%d", firstID(w), f.restarts)
 	observer := f.observer
 	time.AfterFunc(entryTTL, func() {
-		f.Drop(w.info.ID)
-		observer.Gone(w.info.ID)
+		f.Delist(w.info.ID)
+		observer.EntryExpired(w.info.ID)
 	})
 	time.AfterFunc(RestartTime, func() {
 		f.addAtAddress(next, firstID(w))
 		f.mu.Lock()
 		w.replaced = true
 		f.mu.Unlock()
-		observer.Born(w.info.ID, next)
+		observer.ProcessStarted(w.info.ID, next)
 	})
 }
 
-// StartAgain ends a worker like a crash of its process and restarts it under the same id after
+// RestartSameID ends a worker like a crash of its process and restarts it under the same id after
 // a pause. Discovery lists the former incarnation until then.
-func (f *Fleet) StartAgain(id string, pause time.Duration) {
+func (f *Fleet) RestartSameID(id string, pause time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.workers[id]; !w.dead {
@@ -106,24 +106,24 @@
 		f.succeeded[end.Task] = f.succeeded[end.Task] || end.Outcome == fleet.Done
 	}
 	f.restarts++
-	f.observer.Ended(id)
+	f.observer.ProcessEnded(id)
 	observer := f.observer
 	time.AfterFunc(pause, func() {
 		f.mu.Lock()
 		next := w.info // includes a Resize during the pause
-		next.Born = f.nextStartTime(w)
+		next.StartTime = f.nextStartTime(w)
 		next.Draining = false
 		f.addIncarnation(next)
 		f.workers[id].firstID = w.firstID
 		f.mu.Unlock()
-		observer.Born(id, next)
+		observer.ProcessStarted(id, next)
 	})
 }
 
 // nextStartTime returns the Born of an incarnation that starts now. It differs from that of the
 // former one, and is 0 if the former one had none.
 func (f *Fleet) nextStartTime(former *worker) int64 {
-	born := former.info.Born
+	born := former.info.StartTime
 	if born == 0 {
 		return 0
 	}
@@ -134,32 +134,32 @@
 	return now
 }
 
-// StepTimeOfDay steps the wall clock of all workers, which Born is taken from.
-func (f *Fleet) StepTimeOfDay(by time.Duration) {
+// StepWallClock steps the wall clock of all workers, which Born is taken from.
+func (f *Fleet) StepWallClock(by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.wallClockOffset += by
 }
 
-// News receives the starts and ends of worker processes, for a discovery service other than
+// Observer receives the starts and ends of worker processes, for a discovery service other than
 // Fleet.List.
-type News interface {
-	// Ended is called when a worker's process has ended and its connections are closed.
-	Ended(id string)
-	// Gone is called when the entry of a worker that has ended expires.
-	Gone(id string)
-	// Born is called when another incarnation has started at the address of a former one.
-	Born(former string, next fleet.Worker)
+type Observer interface {
+	// ProcessEnded is called when a worker's process has ended and its connections are closed.
+	ProcessEnded(id string)
+	// EntryExpired is called when the entry of a worker that has ended expires.
+	EntryExpired(id string)
+	// ProcessStarted is called when another incarnation has started at the address of a former one.
+	ProcessStarted(former string, next fleet.Worker)
 }
 
 type noopObserver struct{}
 
-func (noopObserver) Ended(string)              {}
-func (noopObserver) Gone(string)               {}
-func (noopObserver) Born(string, fleet.Worker) {}
+func (noopObserver) ProcessEnded(string)                 {}
+func (noopObserver) EntryExpired(string)                 {}
+func (noopObserver) ProcessStarted(string, fleet.Worker) {}
 
-// Tell makes the fleet report starts and ends of worker processes to observer.
-func (f *Fleet) Tell(observer News) {
+// SetObserver makes the fleet report starts and ends of worker processes to observer.
+func (f *Fleet) SetObserver(observer Observer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.observer = observer
@@ -181,8 +181,8 @@
 	return w.info.ID
 }
 
-// Crashed returns the number of workers that a task has crashed.
-func (f *Fleet) Crashed(task string) int {
+// CrashedWorkers returns the number of workers that a task has crashed.
+func (f *Fleet) CrashedWorkers(task string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c := f.crashes[task]; c != nil {
@@ -191,9 +191,9 @@
 	return 0
 }
 
-// EndedUnder returns the number of workers that ended while they ran the same task of a job,
+// MaxWorkersLost returns the number of workers that ended while they ran the same task of a job,
 // for the task with the most.
-func (f *Fleet) EndedUnder(job string) int {
+func (f *Fleet) MaxWorkersLost(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	most := 0
@@ -205,8 +205,8 @@
 	return most
 }
 
-// Lives returns the number of worker processes that ended and were, or will be, started again.
-func (f *Fleet) Lives() int {
+// Restarts returns the number of worker processes that ended and were, or will be, started again.
+func (f *Fleet) Restarts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.restarts
--- a/fleet/fleettest/fleettest.go
+++ b/fleet/fleettest/fleettest.go
@@ -22,21 +22,21 @@
 	Crashes bool          // the worker's process crashes when Work is done; see SetStartAgain
 }
 
-// Kind describes the tasks of a job.
-type Kind struct {
-	Request  workload.Request
-	Attempts int    // limit on failed attempts of a task
-	Advised  bool   // starts need a ticket from Advise
-	Account  string // the client account that the job belongs to
-	Plan     func(task workload.TaskID, attempt int) Plan
+// JobSpec describes the tasks of a job.
+type JobSpec struct {
+	Request     workload.Request
+	MaxFailures int    // limit on failed attempts of a task
+	NeedsTicket bool   // starts need a ticket from Advise
+	Account     string // the client account that the job belongs to
+	Plan        func(task workload.TaskID, attempt int) Plan
 }
 
 // Fault is a fault injected into a call to a worker.
 type Fault struct {
-	Lost bool          // the request is lost
-	Mute bool          // the call is executed and the response is lost
-	Late time.Duration // the call is executed after this delay and the response is lost
-	Busy bool          // the worker is temporarily unavailable
+	RequestLost  bool          // the request is lost
+	ResponseLost bool          // the call is executed and the response is lost
+	Delay        time.Duration // the call is executed after this delay and the response is lost
+	Unavailable  bool          // the worker is temporarily unavailable
 }
 
 // Call names a method of fleet.Client.
@@ -53,18 +53,18 @@
 	stopDelay          = 100 * time.Millisecond
 	gangTimeout        = 3 * time.Second
 	checkpointInterval = 500 * time.Millisecond
-	// MostLease is the longest lease that a worker grants.
-	MostLease = 6 * time.Second
+	// MaxLease is the longest lease that a worker grants.
+	MaxLease = 6 * time.Second
 )
 
 // Fleet is a set of workers. It implements fleet.Client and fleet.Advisor.
 type Fleet struct {
 	mu               sync.Mutex
 	workers          map[string]*worker
-	jobs             map[string]Kind // by job id
-	acknowledgedDone map[string]bool // tasks acknowledged as done, which must not be started again
-	succeeded        map[string]bool // tasks with a completed attempt that workers no longer report
-	failures         map[string]int  // acknowledged failed attempts by task
+	jobs             map[string]JobSpec // by job id
+	acknowledgedDone map[string]bool    // tasks acknowledged as done, which must not be started again
+	succeeded        map[string]bool    // tasks with a completed attempt that workers no longer report
+	failures         map[string]int     // acknowledged failed attempts by task
 	crashes          map[string]*crashRecord
 	workersLost      map[string]int // workers that ended while they ran a task, by task
 	gangs            map[string]*gang
@@ -73,7 +73,7 @@
 	starts           int
 	gangTimeouts     int // gang members that ended because the others did not start in time
 	restarts         int // worker processes that ended and were started again
-	observer         News
+	observer         Observer
 	grace            time.Duration // see SetResizeGrace
 	adviceCalls      int
 	fault            func(call Call, worker string) Fault
@@ -95,7 +95,7 @@
 // New returns a fleet without workers.
 func New() *Fleet {
 	return &Fleet{
-		workers: map[string]*worker{}, jobs: map[string]Kind{}, gangs: map[string]*gang{}, tickets: map[string]ticket{},
+		workers: map[string]*worker{}, jobs: map[string]JobSpec{}, gangs: map[string]*gang{}, tickets: map[string]ticket{},
 		acknowledgedDone: map[string]bool{}, succeeded: map[string]bool{}, failures: map[string]int{}, startedJobs: map[string]bool{},
 		crashes: map[string]*crashRecord{}, workersLost: map[string]int{}, quotas: map[string][]quotaPeriod{}, peakUsage: map[string]resource.Amount{},
 		entryOverrides: map[string]func(fleet.Worker) fleet.Worker{}, closedHalls: map[string]time.Time{},
@@ -135,7 +135,7 @@
 	leaseExpiredThrough uint64 // last ended attempt when the lease last expired
 	runs                map[string]*run
 	highestAttempt      map[string]int // by task: highest attempt number that was stopped or has ended
-	ended               []fleet.End
+	ended               []fleet.EndedAttempt
 	lastSequence        uint64
 	dead                bool
 	// replaced is set if the worker is dead and another incarnation answers at its address.
@@ -165,15 +165,15 @@
 	}
 }
 
-// Unlist makes List return no workers, or all listed ones again.
-func (f *Fleet) Unlist(empty bool) {
+// SetDiscoveryEmpty makes List return no workers, or all listed ones again.
+func (f *Fleet) SetDiscoveryEmpty(empty bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.discoveryEmpty = empty
 }
 
-// Drop removes a worker from discovery. The worker keeps running.
-func (f *Fleet) Drop(id string) {
+// Delist removes a worker from discovery. The worker keeps running.
+func (f *Fleet) Delist(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].delisted = true
@@ -204,9 +204,9 @@
 	return w.info
 }
 
-// SetEntry makes discovery list what change returns for a worker instead of the worker itself.
+// OverrideEntry makes discovery list what change returns for a worker instead of the worker itself.
 // A nil change restores the worker's own entry.
-func (f *Fleet) SetEntry(id string, change func(fleet.Worker) fleet.Worker) {
+func (f *Fleet) OverrideEntry(id string, change func(fleet.Worker) fleet.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entryOverrides[id] = change
@@ -254,15 +254,15 @@
 	f.workers[id].info.Draining = true
 }
 
-// SetSick makes every attempt on a worker follow plan instead of its job's plan.
-func (f *Fleet) SetSick(id string, plan Plan) {
+// OverridePlan makes every attempt on a worker follow plan instead of its job's plan.
+func (f *Fleet) OverridePlan(id string, plan Plan) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.planOverrides[id] = plan
 }
 
-// Know registers a job. It must be called before the job is submitted.
-func (f *Fleet) Know(job string, kind Kind) {
+// RegisterJob registers a job. It must be called before the job is submitted.
+func (f *Fleet) RegisterJob(job string, kind JobSpec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[job] = kind
@@ -282,8 +282,8 @@
 	return f.starts
 }
 
-// Alone returns the number of gang members that ended because the others did not start in time.
-func (f *Fleet) Alone() int {
+// GangTimeouts returns the number of gang members that ended because the others did not start in time.
+func (f *Fleet) GangTimeouts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gangTimeouts
@@ -307,8 +307,8 @@
 	return count
 }
 
-// HostOf returns the worker that runs a task, or "" if none does.
-func (f *Fleet) HostOf(task string) string {
+// WorkerOf returns the worker that runs a task, or "" if none does.
+func (f *Fleet) WorkerOf(task string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, w := range f.workers {
@@ -334,18 +334,18 @@
 	}
 	r.timer.Stop()
 	if g := f.gangs[gangKey(r.task, r.number)]; g != nil && g.lost && outcome == fleet.Done {
-		outcome = fleet.Broken
+		outcome = fleet.GangBroken
 	}
 	delete(w.runs, name)
 	w.highestAttempt[name] = max(w.highestAttempt[name], r.number)
 	w.lastSequence++
 	w.misdelivered[w.lastSequence] = r.misdelivered
-	w.ended = append(w.ended, fleet.End{Sequence: w.lastSequence, Task: name, Number: r.number, Outcome: outcome, Checkpoint: r.checkpoint()})
+	w.ended = append(w.ended, fleet.EndedAttempt{Sequence: w.lastSequence, Task: name, Number: r.number, Outcome: outcome, Checkpoint: r.checkpoint()})
 	w.signalChange()
 	if outcome == fleet.Done {
 		f.endGang(r, fleet.Done)
 	} else {
-		f.endGang(r, fleet.Broken)
+		f.endGang(r, fleet.GangBroken)
 	}
 }
 
--- a/fleet/fleettest/gang.go
+++ b/fleet/fleettest/gang.go
@@ -21,7 +21,7 @@
 func (f *Fleet) failGang(lost *run) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.endGang(lost, fleet.Broken)
+	f.endGang(lost, fleet.GangBroken)
 }
 
 // endGang ends the running members of an attempt's gang.
@@ -47,7 +47,7 @@
 
 // joinGang adds an attempt to its gang. Work starts once all members have joined; a member that
 // waits longer than gangTimeout ends with fleet.Alone.
-func (f *Fleet) joinGang(w *worker, r *run, kind Kind) {
+func (f *Fleet) joinGang(w *worker, r *run, kind JobSpec) {
 	name := gangKey(r.task, r.number)
 	g := f.gangs[name]
 	if g == nil {
@@ -71,7 +71,7 @@
 		defer f.mu.Unlock()
 		if !w.dead && w.runs[r.task.String()] == r && r.startedAt.IsZero() {
 			f.gangTimeouts++
-			f.endAttempt(w, r, fleet.Alone)
+			f.endAttempt(w, r, fleet.GangIncomplete)
 		}
 	})
 }
--- a/fleet/fleettest/judge.go
+++ b/fleet/fleettest/judge.go
@@ -9,15 +9,15 @@
 	"chutereach/workload"
 )
 
-// Broken returns the violations of the scheduler's guarantees so far.
-func (f *Fleet) Broken() []string {
+// Violations returns the violations of the scheduler's guarantees so far.
+func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.violations)
 }
 
-// Began reports whether any task of a job was started.
-func (f *Fleet) Began(job string) bool {
+// JobStarted reports whether any task of a job was started.
+func (f *Fleet) JobStarted(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.startedJobs[job]
@@ -28,7 +28,7 @@
 }
 
 // checkDone records a violation if a later attempt of a task acknowledged as done is running.
-func (f *Fleet) checkDone(end fleet.End) {
+func (f *Fleet) checkDone(end fleet.EndedAttempt) {
 	for _, other := range f.workers {
 		if r := other.runs[end.Task]; r != nil && !other.dead && !r.misdelivered && r.number > end.Number && !r.stopped {
 			f.violation("attempt %d of %s is running on %s although attempt %d was acknowledged as done", r.number, end.Task, other.info.ID, end.Number)
@@ -37,7 +37,7 @@
 }
 
 // checkStart records the violations of the scheduler's guarantees by the start of an attempt.
-func (f *Fleet) checkStart(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
+func (f *Fleet) checkStart(w *worker, task workload.TaskID, order fleet.StartOrder, kind JobSpec) {
 	name := task.String()
 	f.startedJobs[task.Job] = true
 	if kind.Request.Steps == nil {
@@ -52,14 +52,14 @@
 			f.violation("%s runs twice: on %s as attempt %d and on %s as attempt %d", name, other.info.ID, r.number, w.info.ID, order.Number)
 		}
 	}
-	if f.failures[name] >= kind.Attempts {
-		f.violation("%s was started after %d failed attempts, limit %d", name, f.failures[name], kind.Attempts)
+	if f.failures[name] >= kind.MaxFailures {
+		f.violation("%s was started after %d failed attempts, limit %d", name, f.failures[name], kind.MaxFailures)
 	}
 	f.checkStep(w, task, order, kind)
 }
 
 // checkStep checks a start against the constraints of its step and the worker's capacity.
-func (f *Fleet) checkStep(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
+func (f *Fleet) checkStep(w *worker, task workload.TaskID, order fleet.StartOrder, kind JobSpec) {
 	step := kind.Request.Steps[task.Step]
 	used, perWorker := step.Need, 1
 	for _, r := range w.runs {
--- a/fleet/fleettest/orders.go
+++ b/fleet/fleettest/orders.go
@@ -24,7 +24,7 @@
 func call[A any](ctx context.Context, f *Fleet, kind Call, info fleet.Worker, handle func(*worker) (A, error)) (A, error) {
 	var zero A
 	if wait.For(ctx, latency) != nil {
-		return zero, &fleet.UnansweredError{Cause: ctx.Err()}
+		return zero, &fleet.NoResponseError{Cause: ctx.Err()}
 	}
 	f.mu.Lock()
 	w := f.workers[info.ID]
@@ -32,24 +32,24 @@
 	if f.fault != nil {
 		fault = f.fault(kind, info.ID)
 	}
-	silent := w == nil || w.dead || fault.Lost
-	replaced := w != nil && w.replaced && !fault.Lost
+	silent := w == nil || w.dead || fault.RequestLost
+	replaced := w != nil && w.replaced && !fault.RequestLost
 	// Start and Stop are sent only over connections whose incarnation is known.
-	wrongIncarnation := w != nil && kind != CallHold && info.Known() && w.info.Life != info.Life
-	closed := w != nil && w.dead && w.refusesConnections && !fault.Lost
+	wrongIncarnation := w != nil && kind != CallHold && info.HasStartTime() && w.info.Incarnation != info.Incarnation
+	closed := w != nil && w.dead && w.refusesConnections && !fault.RequestLost
 	f.mu.Unlock()
 	switch {
 	case closed && !replaced:
-		return zero, &fleet.UnansweredError{Cause: syscall.ECONNREFUSED, Unsent: true, Closed: true}
+		return zero, &fleet.NoResponseError{Cause: syscall.ECONNREFUSED, Unsent: true, ConnectionClosed: true}
 	case replaced:
 		return zero, &fleet.ReplacedError{ID: info.ID}
 	case wrongIncarnation:
-		return zero, &fleet.UnansweredError{Cause: errWrongIncarnation, Unsent: true}
-	case fault.Busy:
-		return zero, &fleet.BusyError{ID: info.ID}
-	case fault.Late > 0:
+		return zero, &fleet.NoResponseError{Cause: errWrongIncarnation, Unsent: true}
+	case fault.Unavailable:
+		return zero, &fleet.UnavailableError{ID: info.ID}
+	case fault.Delay > 0:
 		go func() {
-			time.Sleep(fault.Late)
+			time.Sleep(fault.Delay)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			// Calls carry the id only, so whichever incarnation has the id by then executes it.
@@ -65,14 +65,14 @@
 	}
 	if silent {
 		<-ctx.Done()
-		return zero, &fleet.UnansweredError{Cause: errNoResponse}
+		return zero, &fleet.NoResponseError{Cause: errNoResponse}
 	}
 	f.mu.Lock()
 	answer, err := handle(w)
 	f.mu.Unlock()
-	if fault.Mute {
+	if fault.ResponseLost {
 		<-ctx.Done()
-		return zero, &fleet.UnansweredError{Cause: errNoResponse}
+		return zero, &fleet.NoResponseError{Cause: errNoResponse}
 	}
 	return answer, err
 }
@@ -85,7 +85,7 @@
 // extendLease extends the lease of all attempts on the worker, at most to MostLease from now.
 func (f *Fleet) extendLease(w *worker, deadline fleet.Clock) {
 	until := w.startedAt.Add(time.Duration(deadline) * time.Millisecond)
-	if maxUntil := time.Now().Add(MostLease); until.After(maxUntil) {
+	if maxUntil := time.Now().Add(MaxLease); until.After(maxUntil) {
 		until = maxUntil
 	}
 	if !until.After(w.leaseUntil) {
@@ -103,7 +103,7 @@
 		}
 		w.leaseExpiredThrough = w.lastSequence
 		for _, r := range w.runs {
-			f.endAttempt(w, r, fleet.Lapsed)
+			f.endAttempt(w, r, fleet.LeaseExpired)
 		}
 	})
 }
@@ -119,29 +119,29 @@
 	}
 	w.token = order.Token
 	if order.Deadline < w.clock() {
-		return 0, f.refuse(w, fleet.Late)
+		return 0, f.refuse(w, fleet.DeadlinePassed)
 	}
 	f.extendLease(w, order.Deadline)
 	if r := w.runs[order.Task]; r != nil && r.number == order.Number {
 		return w.clock(), nil
 	}
 	if order.Number <= w.highestAttempt[order.Task] || w.runs[order.Task] != nil {
-		return 0, f.refuse(w, fleet.Outdated)
+		return 0, f.refuse(w, fleet.StaleAttempt)
 	}
 	task, err := workload.ParseTaskID(order.Task)
 	if err != nil {
 		return 0, f.refuse(w, fleet.Invalid)
 	}
 	kind := f.jobs[task.Job]
-	if kind.Advised && !f.acceptsTicket(order.Ticket, task.StepName(), w) {
-		return 0, f.refuse(w, fleet.NoTicket)
+	if kind.NeedsTicket && !f.acceptsTicket(order.Ticket, task.StepName(), w) {
+		return 0, f.refuse(w, fleet.InvalidTicket)
 	}
 	f.startAttempt(w, task, order, kind)
 	return w.clock(), nil
 }
 
 // startAttempt starts an attempt and checks whether the start was allowed.
-func (f *Fleet) startAttempt(w *worker, task workload.TaskID, order fleet.StartOrder, kind Kind) {
+func (f *Fleet) startAttempt(w *worker, task workload.TaskID, order fleet.StartOrder, kind JobSpec) {
 	f.starts++
 	if !f.misdelivered {
 		f.checkStart(w, task, order, kind)
@@ -163,7 +163,7 @@
 }
 
 // runPlan starts the work of an attempt, which ends as its plan says.
-func (f *Fleet) runPlan(w *worker, r *run, kind Kind) {
+func (f *Fleet) runPlan(w *worker, r *run, kind JobSpec) {
 	r.startedAt = time.Now()
 	plan := Plan{Work: time.Second}
 	if kind.Plan != nil {
@@ -223,8 +223,8 @@
 // Hold implements fleet.Client.
 func (f *Fleet) Hold(ctx context.Context, info fleet.Worker, order fleet.HoldOrder) (fleet.Report, error) {
 	deadline := time.Now().Add(order.Wait)
-	if !f.connected(info.Life) {
-		order.Noted = 0 // that incarnation has not answered on this connection
+	if !f.connected(info.Incarnation) {
+		order.AckedThrough = 0 // that incarnation has not answered on this connection
 	}
 	var (
 		w       *worker       // the incarnation that executed the call
@@ -241,7 +241,7 @@
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return fleet.Report{}, &fleet.UnansweredError{Cause: ctx.Err()}
+			return fleet.Report{}, &fleet.NoResponseError{Cause: ctx.Err()}
 		}
 		timer.Stop()
 		order.Deadline = 0
@@ -250,10 +250,10 @@
 			closed := w.refusesConnections
 			f.mu.Unlock()
 			if closed {
-				return fleet.Report{}, &fleet.UnansweredError{Cause: io.ErrUnexpectedEOF, Closed: true}
+				return fleet.Report{}, &fleet.NoResponseError{Cause: io.ErrUnexpectedEOF, ConnectionClosed: true}
 			}
 			<-ctx.Done()
-			return fleet.Report{}, &fleet.UnansweredError{Cause: errNoResponse}
+			return fleet.Report{}, &fleet.NoResponseError{Cause: errNoResponse}
 		}
 		changed = w.changed
 		report, err = f.hold(w, order)
@@ -264,11 +264,11 @@
 
 // connected reports whether an incarnation is the latest with its id and has answered a Hold, so
 // that the caller has a connection that is known to lead to it.
-func (f *Fleet) connected(incarnation fleet.Life) bool {
+func (f *Fleet) connected(incarnation fleet.Incarnation) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[incarnation.ID]
-	return w != nil && w.info.Life == incarnation && w.reported
+	return w != nil && w.info.Incarnation == incarnation && w.reported
 }
 
 func (f *Fleet) hold(w *worker, order fleet.HoldOrder) (fleet.Report, error) {
@@ -279,9 +279,9 @@
 	if order.Deadline > 0 {
 		f.extendLease(w, order.Deadline)
 	}
-	f.acknowledge(w, order.Noted)
+	f.acknowledge(w, order.AckedThrough)
 	w.reported = true
-	report := fleet.Report{Born: w.info.Born, Clock: w.clock(), Ended: slices.Clone(w.ended)}
+	report := fleet.Report{StartTime: w.info.StartTime, Clock: w.clock(), Ended: slices.Clone(w.ended)}
 	for name, r := range w.runs {
 		report.Running = append(report.Running, fleet.Attempt{Task: name, Number: r.number, Checkpoint: r.checkpoint(), Percent: r.percent()})
 	}
@@ -290,7 +290,7 @@
 
 // acknowledge removes the ended attempts up to a sequence number from the worker's reports.
 func (f *Fleet) acknowledge(w *worker, upTo uint64) {
-	var rest []fleet.End
+	var rest []fleet.EndedAttempt
 	for _, end := range w.ended {
 		switch {
 		case end.Sequence > upTo:
--- a/fleet/fleettest/quota.go
+++ b/fleet/fleettest/quota.go
@@ -51,27 +51,27 @@
 	return f.sumLocked(func(r *run) bool { return f.jobs[r.task.Job].Account == name })
 }
 
-// MostUsed returns the peak usage of each resource by an account with a quota.
-func (f *Fleet) MostUsed(name string) resource.Amount {
+// PeakUsage returns the peak usage of each resource by an account with a quota.
+func (f *Fleet) PeakUsage(name string) resource.Amount {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.peakUsage[name]
 }
 
-// UsedBy returns the resources in use by an account.
-func (f *Fleet) UsedBy(name string) resource.Amount {
+// AccountUsage returns the resources in use by an account.
+func (f *Fleet) AccountUsage(name string) resource.Amount {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.usedByLocked(name)
 }
 
-// UsedByJob returns the resources in use by a job.
-func (f *Fleet) UsedByJob(job string) resource.Amount {
+// JobUsage returns the resources in use by a job.
+func (f *Fleet) JobUsage(job string) resource.Amount {
 	return f.sum(func(r *run) bool { return r.task.Job == job })
 }
 
-// Used returns the resources in use on all running workers.
-func (f *Fleet) Used() resource.Amount { return f.sum(func(*run) bool { return true }) }
+// TotalUsage returns the resources in use on all running workers.
+func (f *Fleet) TotalUsage() resource.Amount { return f.sum(func(*run) bool { return true }) }
 
 func (f *Fleet) sum(counts func(*run) bool) resource.Amount {
 	f.mu.Lock()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -83,7 +83,7 @@
 		c := &cell{t: t, ctx: ctx, network: peertest.New(), store: memory.New(), fleet: fleettest.New()}
 		for i := range 4 {
 			c.fleet.Add(fleet.Worker{
-				Life: fleet.Life{ID: fmt.Sprintf("w-%d", i)}, Service: service, Zone: hallOf(i), Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30},
+				Incarnation: fleet.Incarnation{ID: fmt.Sprintf("w-%d", i)}, Service: service, Zone: hallOf(i), Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30},
 			})
 		}
 		c.addNodes(count)
@@ -93,7 +93,7 @@
 			c.stop(m)
 		}
 		cancel()
-		for _, broken := range c.fleet.Broken() {
+		for _, broken := range c.fleet.Violations() {
 			t.Error(broken)
 		}
 		time.Sleep(time.Minute)
@@ -128,7 +128,7 @@
 	}
 	config := node.Config{
 		Self:              node.Member{Node: m.name, Address: m.name, Hall: "h", Cores: m.cores, LinkMbps: m.linkMbps},
-		Scheduler:         scheduler.Config{Shard: "main", Lease: fleettest.MostLease, KeepFinal: time.Minute, EvacuateWithin: c.evacuateWithin},
+		Scheduler:         scheduler.Config{Shard: "main", Lease: fleettest.MaxLease, KeepFinal: time.Minute, EvacuateWithin: c.evacuateWithin},
 		OnOwnershipChange: c.onOwnership,
 	}
 	m.Node = node.New(ctx, config, platform, peer.NewPlainClientOver(c.network.Dial(m.name)), node.NewMetrics(), zerolog.Nop())
@@ -171,7 +171,7 @@
 
 // submit submits a job through a node, without retries.
 func (c *cell) submit(m *member, id string) error {
-	c.fleet.Know(id, fleettest.Kind{Request: request(), Attempts: 3})
+	c.fleet.RegisterJob(id, fleettest.JobSpec{Request: request(), MaxFailures: 3})
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
 	defer cancel()
 	return m.Submit(ctx, id, workload.Record{Request: request(), Queue: queue, AcceptedAt: time.Now().UnixMilli()})
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -142,12 +142,12 @@
 	if err != nil {
 		return answer, &UnreachableError{address, err}
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.scheme+"://"+address+path, transfer.Sending(ctx, body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.scheme+"://"+address+path, transfer.RequestBody(ctx, body))
 	if err != nil {
 		return answer, &UnreachableError{address, err}
 	}
 	req.ContentLength = int64(len(body))
-	req.GetBody = func() (io.ReadCloser, error) { return transfer.Sending(ctx, body), nil }
+	req.GetBody = func() (io.ReadCloser, error) { return transfer.RequestBody(ctx, body), nil }
 	req.Header.Set("Content-Type", codec.ContentType)
 	c.Sent.Add(int64(len(body)))
 	resp, err := c.transport.RoundTrip(req)
--- a/rowstore/memory/memory.go
+++ b/rowstore/memory/memory.go
@@ -238,9 +238,9 @@
 	start := time.Now()
 	for sent := 0; link != nil && sent < size; sent += chunkSize {
 		if err := link(ctx, min(chunkSize, size-sent)); err != nil {
-			return &transfer.BrokenOffError{Received: transfer.Received{Bytes: sent, Took: time.Since(start)}, Cause: err}
+			return &transfer.TruncatedError{Received: transfer.Received{Bytes: sent, Took: time.Since(start)}, Cause: err}
 		}
-		transfer.Progressed(ctx)
+		transfer.ReportProgress(ctx)
 	}
 	return nil
 }
--- a/scheduler/accounts_test.go
+++ b/scheduler/accounts_test.go
@@ -66,8 +66,8 @@
 
 // submit submits a job for an account.
 func (a *accountCell) submit(name, id string, queue workload.Queue, request workload.Request, work time.Duration) error {
-	a.fleet.Know(id, fleettest.Kind{
-		Request: request, Attempts: queue.MaxFailures, Advised: queue.Advice.Enabled(), Account: name,
+	a.fleet.RegisterJob(id, fleettest.JobSpec{
+		Request: request, MaxFailures: queue.MaxFailures, NeedsTicket: queue.Advice.Enabled(), Account: name,
 		Plan: func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: work} },
 	})
 	record := workload.Record{Request: request, Queue: queue, AcceptedAt: time.Now().UnixMilli(), Account: a.terms[name]}
@@ -183,7 +183,7 @@
 		time.Sleep(500 * time.Millisecond)
 		a.replaceOwner()
 		a.awaitState("a", "job", workload.Completed, 10*time.Second)
-		if most := c.fleet.MostUsed("a"); most.CPU != 4_000 {
+		if most := c.fleet.PeakUsage("a"); most.CPU != 4_000 {
 			t.Errorf("peak CPU usage of account a is %v, want 4", most.CPU)
 		}
 	})
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -24,9 +24,9 @@
 	s := newTestScheduler(t)
 	now := time.Now()
 	for i := range 1100 {
-		w := newWorker(fleet.Worker{Life: fleet.Life{ID: fmt.Sprintf("w-%04d", i)}, Service: "s", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30}})
+		w := newWorker(fleet.Worker{Incarnation: fleet.Incarnation{ID: fmt.Sprintf("w-%04d", i)}, Service: "s", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30}})
 		w.discovered, w.lastReportAt, w.used = true, now, used(i)
-		s.workers[w.info.Life] = w
+		s.workers[w.info.Incarnation] = w
 	}
 	p := newPass(now, 1, false, defaultWorkerTimes, evacuation.View{})
 	for _, w := range s.workers {
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -73,9 +73,9 @@
 	advice := fleet.Advice{Tickets: map[string]string{}, Valid: time.Hour}
 	var workers []*worker
 	for i := range 350 {
-		w := newWorker(fleet.Worker{Life: fleet.Life{ID: fmt.Sprintf("w-%03d", i)}, Service: "s", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30}})
+		w := newWorker(fleet.Worker{Incarnation: fleet.Incarnation{ID: fmt.Sprintf("w-%03d", i)}, Service: "s", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30}})
 		w.discovered, w.lastReportAt, w.used = true, now.Add(time.Hour), resource.Amount{CPU: 15_500}
-		s.workers[w.info.Life] = w
+		s.workers[w.info.Incarnation] = w
 		workers = append(workers, w)
 		if i%3 != 0 {
 			advice.Tickets[w.info.ID] = "ticket"
--- a/scheduler/burst_test.go
+++ b/scheduler/burst_test.go
@@ -86,7 +86,7 @@
 func (c *cell) addLargeWorkers(count int) {
 	for i := range count {
 		c.fleet.Add(fleet.Worker{
-			Life: fleet.Life{ID: fmt.Sprintf("w-%02d", i)}, Service: testService, Rack: fmt.Sprintf("r-%d", i/12),
+			Incarnation: fleet.Incarnation{ID: fmt.Sprintf("w-%02d", i)}, Service: testService, Rack: fmt.Sprintf("r-%d", i/12),
 			Capacity: resource.Amount{CPU: 32_000, Memory: 128 * gigabyte},
 		})
 	}
--- a/scheduler/cancel_late_test.go
+++ b/scheduler/cancel_late_test.go
@@ -19,7 +19,7 @@
 		{"start executed late", func(string) fleettest.Fault { return fleettest.Fault{} }, keepOwner},
 		{"owner replaced", func(string) fleettest.Fault { return fleettest.Fault{} }, replaceOwner},
 		{"owner replaced, successor cannot reach the worker", func(string) fleettest.Fault {
-			return fleettest.Fault{Lost: true}
+			return fleettest.Fault{RequestLost: true}
 		}, replaceOwner},
 	}
 	for _, test := range cases {
@@ -30,7 +30,7 @@
 				time.Sleep(500 * time.Millisecond)
 				c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
 					if call == fleettest.CallStart {
-						return fleettest.Fault{Late: startDelay}
+						return fleettest.Fault{Delay: startDelay}
 					}
 					return test.faults(worker)
 				})
--- a/scheduler/cell_test.go
+++ b/scheduler/cell_test.go
@@ -93,13 +93,13 @@
 	c.mu.Unlock()
 	if lacks == worker {
 		<-ctx.Done()
-		return &fleet.UnansweredError{Cause: ctx.Err()}
+		return &fleet.NoResponseError{Cause: ctx.Err()}
 	}
 	select {
 	case <-open:
 		return nil
 	case <-ctx.Done():
-		return &fleet.UnansweredError{Cause: ctx.Err()}
+		return &fleet.NoResponseError{Cause: ctx.Err()}
 	}
 }
 
@@ -138,19 +138,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		c := &cell{
-			t: t, ctx: ctx, store: memory.New(), fleet: fleettest.New(), lease: fleettest.MostLease,
+			t: t, ctx: ctx, store: memory.New(), fleet: fleettest.New(), lease: fleettest.MaxLease,
 			queue: workload.Queue{Name: "diagnostics", Service: testService, Priority: 1, MaxFailures: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second},
 		}
 		for i := range workers {
 			c.fleet.Add(fleet.Worker{
-				Life: fleet.Life{ID: fmt.Sprintf("w-%02d", i), Born: int64(1 + i)}, Service: testService, Address: fmt.Sprintf("10.0.0.%d:80", i), Zone: hallOf(i), Rack: fmt.Sprintf("r1-%d", i/2), Labels: []string{"a"},
+				Incarnation: fleet.Incarnation{ID: fmt.Sprintf("w-%02d", i), StartTime: int64(1 + i)}, Service: testService, Address: fmt.Sprintf("10.0.0.%d:80", i), Zone: hallOf(i), Rack: fmt.Sprintf("r1-%d", i/2), Labels: []string{"a"},
 				Capacity: resource.Amount{CPU: 16_000, Memory: 64 * gigabyte},
 			})
 		}
 		test(c)
 		cancel()
 		synctest.Wait()
-		for _, broken := range c.fleet.Broken() {
+		for _, broken := range c.fleet.Violations() {
 			t.Error(broken)
 		}
 		time.Sleep(time.Minute) // lets delayed calls finish within the bubble
@@ -183,7 +183,7 @@
 	ctx, kill := context.WithCancel(c.ctx)
 	client := &pausableClient{Client: c.fleet, resumed: make(chan struct{})}
 	client.resume()
-	config := scheduler.Config{Shard: testShard, Lease: c.lease, LongestLease: fleettest.MostLease, KeepFinal: 2 * time.Minute, WorkerTimes: c.workerTimes}
+	config := scheduler.Config{Shard: testShard, Lease: c.lease, LongestLease: fleettest.MaxLease, KeepFinal: 2 * time.Minute, WorkerTimes: c.workerTimes}
 	if c.evacuateWithin > 0 {
 		config.EvacuateWithin, config.Evacuations = c.evacuateWithin, c.followEvacuations(ctx, caller)
 	}
@@ -216,7 +216,7 @@
 }
 
 func (c *cell) registerJob(id string, request workload.Request, plan func(workload.TaskID, int) fleettest.Plan) {
-	c.fleet.Know(id, fleettest.Kind{Request: request, Attempts: c.queue.MaxFailures, Advised: c.queue.Advice.Enabled(), Plan: plan})
+	c.fleet.RegisterJob(id, fleettest.JobSpec{Request: request, MaxFailures: c.queue.MaxFailures, NeedsTicket: c.queue.Advice.Enabled(), Plan: plan})
 }
 
 // awaitState polls until a job is in a state, and fails the test if it is not within a time.
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -83,7 +83,7 @@
 		return
 	}
 	evidence := s.crashEvidence(t)
-	t.crashes = t.crashes.WithLostAttempt(w.info.Life, evidence)
+	t.crashes = t.crashes.WithLostAttempt(w.info.Incarnation, evidence)
 	if evidence != workload.LateLoss {
 		s.markSuspected(t.step)
 	}
@@ -138,7 +138,7 @@
 func (s *Scheduler) clearLost(w *worker) {
 	for _, lost := range w.lostAttempts {
 		if j := lost.task.step.job; !j.state.Final() {
-			lost.task.crashes = lost.task.crashes.WithWorkerAlive(w.info.Life)
+			lost.task.crashes = lost.task.crashes.WithWorkerAlive(w.info.Incarnation)
 			s.markDirty(j)
 		}
 	}
@@ -154,7 +154,7 @@
 		if j.state.Final() || t.state == taskDone {
 			continue
 		}
-		t.crashes = t.crashes.WithWorkerCrash(w.info.Life, t.attempt)
+		t.crashes = t.crashes.WithWorkerCrash(w.info.Incarnation, t.attempt)
 		s.metrics.lostWithWorker.Add(1)
 		s.log.Warn().Str("job", j.id).Str("task", t.id().String()).Int("attempt", lost.number).Str("worker", w.info.ID).
 			Int("workers", t.crashes.WorkerCrashes).Int("soon", t.crashes.EarlyCrashes).Int("last_attempt", t.crashes.LastAttempt).
--- a/scheduler/crash_test.go
+++ b/scheduler/crash_test.go
@@ -80,21 +80,21 @@
 func (c *cell) awaitCrashes(o *owner, count int) bool {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if c.fleet.Lives() >= count {
+		if c.fleet.Restarts() >= count {
 			return true
 		}
 		if state, err := o.State(c.ctx, "culprit"); err == nil && state.Final() {
 			return false
 		}
 	}
-	c.t.Errorf("%d workers crashed within 20 s, want %d or a final job", c.fleet.Lives(), count)
+	c.t.Errorf("%d workers crashed within 20 s, want %d or a final job", c.fleet.Restarts(), count)
 	return false
 }
 
 // assertCrashes checks that a task has crashed at least one worker and at most a number of them.
 func (c *cell) assertCrashes(task string, limit int) {
 	c.t.Helper()
-	if got := c.fleet.Crashed(task); got == 0 || got > limit {
+	if got := c.fleet.CrashedWorkers(task); got == 0 || got > limit {
 		c.t.Errorf("%d workers crashed under %s, want 1 to %d", got, task, limit)
 	}
 }
--- a/scheduler/crash_waves_test.go
+++ b/scheduler/crash_waves_test.go
@@ -124,7 +124,7 @@
 		c.awaitState(o, name, workload.Failed, 20*time.Second)
 	}
 	for _, name := range others {
-		if state, _ := o.State(c.ctx, name); state == workload.Failed && c.fleet.EndedUnder(name) >= 2 {
+		if state, _ := o.State(c.ctx, name); state == workload.Failed && c.fleet.MaxWorkersLost(name) >= 2 {
 			continue
 		}
 		c.awaitState(o, name, workload.Completed, 20*time.Second)
@@ -163,7 +163,7 @@
 	case 2:
 		cut := c.liveWorkers()[0].ID
 		c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
-			return fleettest.Fault{Lost: worker == cut}
+			return fleettest.Fault{RequestLost: worker == cut}
 		})
 	case 3:
 		c.fleet.SetFault(nil)
--- a/scheduler/end.go
+++ b/scheduler/end.go
@@ -26,7 +26,7 @@
 	switch {
 	case !t.startSent:
 		t.crashes = t.crashes.WithUnstartedAttempt()
-	case outcome != fleet.Lapsed && !t.startedAt.IsZero():
+	case outcome != fleet.LeaseExpired && !t.startedAt.IsZero():
 		t.crashes = t.crashes.WithSurvivedAttempt() // the worker survived the attempt
 	}
 	s.finishTrial(w, time.Now())
--- a/scheduler/evacuated_test.go
+++ b/scheduler/evacuated_test.go
@@ -92,7 +92,7 @@
 	task := workload.TaskID{Job: job}.String()
 	host := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if host = c.fleet.HostOf(task); host != "" {
+		if host = c.fleet.WorkerOf(task); host != "" {
 			break
 		}
 	}
@@ -172,7 +172,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2 * evacuationBound)
-		if c.fleet.Began("job") {
+		if c.fleet.JobStarted("job") {
 			t.Error("job started in an evacuated data hall")
 		}
 		c.readmit(2)
@@ -215,7 +215,7 @@
 		c.fleet.Evacuate(hallOf(0), 100*time.Millisecond) // the owner learns of it within a round trip
 		time.Sleep(3 * time.Second)
 		o.caller.SetFault(nil)
-		if c.fleet.Began("job") {
+		if c.fleet.JobStarted("job") {
 			t.Error("task granted before the evacuation started after it")
 		}
 		c.readmit(1)
@@ -237,7 +237,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(4 * time.Second)
-		if c.fleet.Began("job") {
+		if c.fleet.JobStarted("job") {
 			t.Error("job started while the view of evacuations was older than the bound")
 		}
 		o.caller.SetFault(nil)
@@ -327,7 +327,7 @@
 		}
 		c.fleet.Crash(w.ID)
 		w.ID, w.Zone = w.ID+"-moved", hallOf(hall+1)
-		w.Born++
+		w.StartTime++
 		c.fleet.Add(w)
 		return
 	}
@@ -359,9 +359,9 @@
 		time.Sleep(min(pause/2, 400*time.Millisecond))
 		o.client.resume()
 	case workerCallsDelayed:
-		c.injectFaultEveryThirdCall(fleettest.Fault{Late: pause})
+		c.injectFaultEveryThirdCall(fleettest.Fault{Delay: pause})
 	case workerAnswersLost:
-		c.injectFaultEveryThirdCall(fleettest.Fault{Mute: true})
+		c.injectFaultEveryThirdCall(fleettest.Fault{ResponseLost: true})
 	case faultsCleared:
 		c.fleet.SetFault(nil)
 		o.caller.SetFault(nil)
--- a/scheduler/fault_test.go
+++ b/scheduler/fault_test.go
@@ -90,7 +90,7 @@
 // restartWorkers ends workers at once and restarts each under its ID after a random delay.
 func (r *faultRun) restartWorkers(ids ...string) {
 	for _, id := range ids {
-		r.fleet.StartAgain(id, r.rng.restartDelay())
+		r.fleet.RestartSameID(id, r.rng.restartDelay())
 	}
 }
 
@@ -102,20 +102,20 @@
 // faultCases are the faults that tests inject, alone and in pairs.
 var faultCases = []faultCase{
 	{"starts delayed", func(r *faultRun) func() {
-		return r.injectRandomFault(0.3, fleettest.Fault{Late: 2 * time.Second}, fleettest.CallStart)
+		return r.injectRandomFault(0.3, fleettest.Fault{Delay: 2 * time.Second}, fleettest.CallStart)
 	}},
 	{"orders delayed beyond their leases", func(r *faultRun) func() {
-		return r.injectRandomFault(0.2, fleettest.Fault{Late: 11 * time.Second}, fleettest.CallStart, fleettest.CallStop, fleettest.CallHold)
+		return r.injectRandomFault(0.2, fleettest.Fault{Delay: 11 * time.Second}, fleettest.CallStart, fleettest.CallStop, fleettest.CallHold)
 	}},
 	{"worker responses lost", func(r *faultRun) func() {
-		return r.injectRandomFault(0.3, fleettest.Fault{Mute: true}, fleettest.CallStart, fleettest.CallStop, fleettest.CallHold)
+		return r.injectRandomFault(0.3, fleettest.Fault{ResponseLost: true}, fleettest.CallStart, fleettest.CallStop, fleettest.CallHold)
 	}},
 	{"workers busy", func(r *faultRun) func() {
-		return r.injectRandomFault(0.3, fleettest.Fault{Busy: true}, fleettest.CallStart)
+		return r.injectRandomFault(0.3, fleettest.Fault{Unavailable: true}, fleettest.CallStart)
 	}},
 	{"a worker unreachable", func(r *faultRun) func() {
 		return r.injectFleetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
-			return fleettest.Fault{Lost: worker == "w-01"}
+			return fleettest.Fault{RequestLost: worker == "w-01"}
 		})
 	}},
 	{"a worker crashes", func(r *faultRun) func() {
@@ -124,13 +124,13 @@
 		id := fmt.Sprintf("w-2%d", r.added)
 		return func() {
 			r.fleet.Add(fleet.Worker{
-				Life: fleet.Life{ID: id}, Service: testService, Rack: "r1-1", Labels: []string{"a"},
+				Incarnation: fleet.Incarnation{ID: id}, Service: testService, Rack: "r1-1", Labels: []string{"a"},
 				Capacity: resource.Amount{CPU: 16_000, Memory: 64 * gigabyte},
 			})
 		}
 	}},
 	{"a worker restarts under its id", func(r *faultRun) func() {
-		r.fleet.StartAgain("w-03", r.rng.restartDelay())
+		r.fleet.RestartSameID("w-03", r.rng.restartDelay())
 		return noCleanup
 	}},
 	{"most workers restart twice", func(r *faultRun) func() {
@@ -252,7 +252,7 @@
 	r.t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		state, err := r.owner().State(r.ctx, id)
-		if err == nil && (state == workload.Completed || state == workload.Failed && r.fleet.EndedUnder(id) >= 2) {
+		if err == nil && (state == workload.Completed || state == workload.Failed && r.fleet.MaxWorkersLost(id) >= 2) {
 			return
 		}
 	}
@@ -264,7 +264,7 @@
 	for _, one := range faultCases {
 		t.Run(one.name, func(t *testing.T) {
 			for seed := range uint64(4) {
-				runFaults(t, seed, fleettest.MostLease, one)
+				runFaults(t, seed, fleettest.MaxLease, one)
 				runFaults(t, seed, shortLease, one)
 			}
 		})
@@ -275,7 +275,7 @@
 	for _, one := range faultCases {
 		for _, two := range faultCases {
 			t.Run(one.name+" and "+two.name, func(t *testing.T) {
-				runFaults(t, 11, fleettest.MostLease, one, two)
+				runFaults(t, 11, fleettest.MaxLease, one, two)
 				runFaults(t, 12, shortLease, one, two)
 			})
 		}
@@ -300,7 +300,7 @@
 					started[worker] = started[worker] || first
 					age := time.Since(began)
 					reportLost := call == fleettest.CallHold && age > 500*time.Millisecond && age < 2500*time.Millisecond
-					return fleettest.Fault{Mute: first || reportLost}
+					return fleettest.Fault{ResponseLost: first || reportLost}
 				})
 				o := c.startOwner()
 				plan := func(_ workload.TaskID, attempt int) fleettest.Plan {
@@ -337,7 +337,7 @@
 		time.Sleep(5 * time.Second)
 		o.caller.SetFault(nil)
 		c.awaitState(o, "waiting", workload.Completed, 20*time.Second)
-		if got := c.fleet.Refused(fleet.NoTicket); got != 0 {
+		if got := c.fleet.Refused(fleet.InvalidTicket); got != 0 {
 			t.Errorf("%d starts refused for their tickets, want 0", got)
 		}
 	})
--- a/scheduler/first_calls_test.go
+++ b/scheduler/first_calls_test.go
@@ -40,11 +40,11 @@
 			t.Fatal(err)
 		}
 		time.Sleep(500 * time.Millisecond)
-		c.fleet.Unlist(true)
+		c.fleet.SetDiscoveryEmpty(true)
 		o.kill()
 		next := c.startOwner()
 		c.awaitState(next, "job", workload.Completed, time.Second)
-		c.fleet.Unlist(false)
+		c.fleet.SetDiscoveryEmpty(false)
 		time.Sleep(time.Second)
 		if err := c.submit(next, "another", newRequest(6, 8000), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			called[worker] = true
-			return fleettest.Fault{Lost: worker[len(worker)-1]%2 == 0}
+			return fleettest.Fault{RequestLost: worker[len(worker)-1]%2 == 0}
 		})
 		c.startOwner()
 		time.Sleep(within)
@@ -97,7 +97,7 @@
 		time.Sleep(500 * time.Millisecond)
 		busy := map[string]bool{}
 		for index := range tasks {
-			busy[c.fleet.HostOf(workload.TaskID{Job: "job", Index: index}.String())] = true
+			busy[c.fleet.WorkerOf(workload.TaskID{Job: "job", Index: index}.String())] = true
 		}
 		o.kill()
 		order := c.recordFirstCalls()
--- a/scheduler/gang_test.go
+++ b/scheduler/gang_test.go
@@ -15,9 +15,9 @@
 		name  string
 		fault fleettest.Fault // injected into each call to the member's worker
 	}{
-		{"its worker does not receive calls", fleettest.Fault{Lost: true}},
-		{"its worker executes calls without answering", fleettest.Fault{Mute: true}},
-		{"its worker executes calls late", fleettest.Fault{Late: 2500 * time.Millisecond}},
+		{"its worker does not receive calls", fleettest.Fault{RequestLost: true}},
+		{"its worker executes calls without answering", fleettest.Fault{ResponseLost: true}},
+		{"its worker executes calls late", fleettest.Fault{Delay: 2500 * time.Millisecond}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 					t.Fatal(err)
 				}
 				c.awaitState(o, "gang", workload.Completed, 14*time.Second)
-				if got := c.fleet.Alone(); got != 0 {
+				if got := c.fleet.GangTimeouts(); got != 0 {
 					t.Errorf("%d gang members timed out waiting for the others, want 0", got)
 				}
 			})
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -46,7 +46,7 @@
 				c.queue.Priority = 0
 				var p startCounter
 				p.attach(c)
-				c.fleet.SetSick("w-03", test.plan)
+				c.fleet.OverridePlan("w-03", test.plan)
 				o := c.startOwner()
 				var ids []string
 				for i := range 120 {
@@ -109,7 +109,7 @@
 	withCell(t, 20, func(c *cell) {
 		c.queue.MaxFailures = 2
 		for _, unhealthy := range []string{"w-04", "w-11"} {
-			c.fleet.SetSick(unhealthy, fleettest.Plan{Work: 40 * time.Millisecond, Outcome: fleet.Failed})
+			c.fleet.OverridePlan(unhealthy, fleettest.Plan{Work: 40 * time.Millisecond, Outcome: fleet.Failed})
 		}
 		var p startCounter
 		p.attach(c)
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -122,7 +122,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), Noted: w.ackableSequence(), Wait: holdWait}
+	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), AckedThrough: w.ackableSequence(), Wait: holdWait}
 	if s.answers.lossy {
 		order.Wait = lossyWait
 	}
@@ -179,7 +179,7 @@
 	s.markTokenStale(w.info.ID)
 	if !w.unresponsive {
 		s.recordCallResult(false)
-		w.unresponsive, w.unresponsiveSince, w.connectionClosed = true, time.Now(), fleet.IsClosed(err)
+		w.unresponsive, w.unresponsiveSince, w.connectionClosed = true, time.Now(), fleet.IsConnectionClosed(err)
 		if w.connectionClosed {
 			s.recordDisconnect(w, w.unresponsiveSince)
 		}
@@ -202,7 +202,7 @@
 	for _, t := range w.taskList() {
 		if t.worker == w {
 			s.recordLost(t)
-			s.endAttempt(t, fleet.Lapsed, "", why)
+			s.endAttempt(t, fleet.LeaseExpired, "", why)
 		}
 	}
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -332,7 +332,7 @@
 		case t.attempt > 0 || t.checkpoint != "":
 			tp := workload.TaskProgress{Index: t.index, Attempt: t.attempt, Failures: t.failures, Checkpoint: t.checkpoint, CrashHistory: t.crashes}
 			if t.worker != nil {
-				tp.Worker, tp.Born = t.worker.info.ID, t.worker.info.Born
+				tp.Worker, tp.Born = t.worker.info.ID, t.worker.info.StartTime
 				if !addressed[t.worker] { // once per worker, to keep the row small: it is rewritten on each change
 					tp.Address, addressed[t.worker] = t.worker.info.Address, true
 				}
@@ -345,7 +345,7 @@
 
 // restore applies stored progress to a new job. hosts returns the worker for a life,
 // creating it if necessary.
-func (j *job) restore(p workload.Progress, hosts func(life fleet.Life, address string) *worker) {
+func (j *job) restore(p workload.Progress, hosts func(life fleet.Incarnation, address string) *worker) {
 	j.state, j.savedState, j.started, j.finalAt = p.State, p.State, p.Started, p.FinalAt
 	j.generation, j.saved = max(1, p.Generation), max(1, p.Generation)
 	for _, sp := range p.Steps {
@@ -356,7 +356,7 @@
 	}
 }
 
-func (st *step) restore(sp workload.StepProgress, hosts func(life fleet.Life, address string) *worker) {
+func (st *step) restore(sp workload.StepProgress, hosts func(life fleet.Incarnation, address string) *worker) {
 	for _, t := range st.tasks {
 		if sp.AllDone || workload.HasBit(sp.Done, t.index) {
 			t.markDone()
@@ -370,7 +370,7 @@
 		t.attempt, t.failures, t.checkpoint, t.crashes = tp.Attempt, tp.Failures, tp.Checkpoint, tp.CrashHistory
 		st.suspected = st.suspected || t.crashes.Suspected
 		if tp.Worker != "" {
-			hosts(fleet.Life{ID: tp.Worker, Born: tp.Born}, tp.Address).assign(t, taskStarting)
+			hosts(fleet.Incarnation{ID: tp.Worker, StartTime: tp.Born}, tp.Address).assign(t, taskStarting)
 			t.recovered, t.startSent = true, true
 		}
 		for _, lost := range t.crashes.Unresolved {
--- a/scheduler/late_end_test.go
+++ b/scheduler/late_end_test.go
@@ -21,10 +21,10 @@
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, time.Second)
-		first := c.fleet.HostOf("job.0.0.0")
+		first := c.fleet.WorkerOf("job.0.0.0")
 		var reachable atomic.Bool
 		c.fleet.SetFault(func(call fleettest.Call, worker string) fleettest.Fault {
-			return fleettest.Fault{Lost: worker == first && !reachable.Load() || worker != first && call == fleettest.CallStart}
+			return fleettest.Fault{RequestLost: worker == first && !reachable.Load() || worker != first && call == fleettest.CallStart}
 		})
 		time.Sleep(5200 * time.Millisecond) // the lease has expired, and the task is granted to the other worker
 		reachable.Store(true)
--- a/scheduler/late_report_test.go
+++ b/scheduler/late_report_test.go
@@ -29,12 +29,12 @@
 		t.Fatal(err)
 	}
 	s := New(Config{Shard: "main", Lease: time.Second}, memory.New(), nil, term, NewMetrics(), zerolog.Nop())
-	w := s.addLife(fleet.Worker{Life: fleet.Life{ID: "w", Born: 1}, Service: "s"})
+	w := s.addLife(fleet.Worker{Incarnation: fleet.Incarnation{ID: "w", StartTime: 1}, Service: "s"})
 	queue := workload.Queue{Name: "q", Service: "s", MaxFailures: 3}
 	request := workload.Request{Steps: []workload.Step{{Count: tasks}}}
 	j := newJob("job", workload.Record{Request: request, Queue: queue}, s.accountOf(account.Terms{}), time.Now())
 	s.jobs[j.id], s.active[j.id] = j, j
-	report := fleet.Report{Born: 1, Clock: 5}
+	report := fleet.Report{StartTime: 1, Clock: 5}
 	for _, task := range j.rounds[0].steps[0].tasks {
 		w.assign(task, taskStarting)
 		task.attempt, task.startSent = 1, true
@@ -44,8 +44,8 @@
 	return &reportFixture{s, w, j}
 }
 
-func newDoneEnd(sequence uint64, task string) fleet.End {
-	return fleet.End{Sequence: sequence, Task: task, Number: 1, Outcome: fleet.Done}
+func newDoneEnd(sequence uint64, task string) fleet.EndedAttempt {
+	return fleet.EndedAttempt{Sequence: sequence, Task: task, Number: 1, Outcome: fleet.Done}
 }
 
 // Guards against losing a finished task: a report from before the worker's restart is processed
@@ -53,11 +53,11 @@
 func TestReportReadAfterWorkerRestart(t *testing.T) {
 	s := newReportFixture(t, 1)
 	sent := time.Now()
-	s.handleReport(s.worker, fleet.Report{Born: 2, Clock: 1}, time.Now())
-	if s.job.state.Final() || s.workers[fleet.Life{ID: "w", Born: 2}] == nil || s.workers[s.worker.info.Life] != nil {
+	s.handleReport(s.worker, fleet.Report{StartTime: 2, Clock: 1}, time.Now())
+	if s.job.state.Final() || s.workers[fleet.Incarnation{ID: "w", StartTime: 2}] == nil || s.workers[s.worker.info.Incarnation] != nil {
 		t.Fatalf("after the restart: the job is %s, the workers are %v; want a running job and only the worker born at 2", s.job.state, s.workers)
 	}
-	s.handleReport(s.worker, fleet.Report{Born: 1, Clock: 6, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0")}}, sent)
+	s.handleReport(s.worker, fleet.Report{StartTime: 1, Clock: 6, Ended: []fleet.EndedAttempt{newDoneEnd(1, "job.0.0.0")}}, sent)
 	if s.job.state != workload.Completed {
 		t.Errorf("the job is %s, want completed", s.job.state)
 	}
@@ -68,7 +68,7 @@
 func TestUnreadableReportRow(t *testing.T) {
 	s := newReportFixture(t, 3)
 	s.handleReport(s.worker, fleet.Report{
-		Born: 1, Clock: 6, Unread: 1, UnreadFrom: 2, Ended: []fleet.End{newDoneEnd(1, "job.0.0.0"), newDoneEnd(3, "job.0.0.2")},
+		StartTime: 1, Clock: 6, UndecodedRows: 1, UndecodedFrom: 2, Ended: []fleet.EndedAttempt{newDoneEnd(1, "job.0.0.0"), newDoneEnd(3, "job.0.0.2")},
 	}, time.Now())
 	s.job.saved = s.job.generation
 	s.worker.advancePersisted()
@@ -79,7 +79,7 @@
 		t.Errorf("%d tasks are left, want 1 with a running attempt", left)
 	}
 	s.handleReport(s.worker, fleet.Report{
-		Born: 1, Clock: 7, Ended: []fleet.End{newDoneEnd(2, "job.0.0.1"), newDoneEnd(3, "job.0.0.2")},
+		StartTime: 1, Clock: 7, Ended: []fleet.EndedAttempt{newDoneEnd(2, "job.0.0.1"), newDoneEnd(3, "job.0.0.2")},
 	}, time.Now())
 	if got := s.worker.ackableSequence(); got != 1 {
 		t.Errorf("ends up to %d are acknowledged before the store has the end, want 1", got)
--- a/scheduler/later_life_test.go
+++ b/scheduler/later_life_test.go
@@ -32,13 +32,13 @@
 		c.lease = shortLease
 		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
-		c.injectFault(fleettest.CallStart, fleettest.Fault{Late: 700 * time.Millisecond})
+		c.injectFault(fleettest.CallStart, fleettest.Fault{Delay: 700 * time.Millisecond})
 		if err := c.submit(o, "job", fullWorkerRequest(), succeedAfter(4*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
 		c.fleet.SetFault(nil)
-		c.fleet.StartAgain("w-00", 100*time.Millisecond)
+		c.fleet.RestartSameID("w-00", 100*time.Millisecond)
 		time.Sleep(1500 * time.Millisecond)
 		if err := c.submit(o, "next", fullWorkerRequest(), succeedAfter(time.Second)); err != nil {
 			t.Fatal(err)
@@ -66,10 +66,10 @@
 		o := c.startOwner()
 		time.Sleep(500 * time.Millisecond)
 		c.runShortTasks(o, "before", 10)
-		c.injectFault(fleettest.CallHold, fleettest.Fault{Late: 1200 * time.Millisecond})
+		c.injectFault(fleettest.CallHold, fleettest.Fault{Delay: 1200 * time.Millisecond})
 		time.Sleep(1100 * time.Millisecond) // the next Hold call, with the acknowledged sequence, is under way
 		c.fleet.SetFault(nil)
-		c.fleet.StartAgain("w-00", 50*time.Millisecond)
+		c.fleet.RestartSameID("w-00", 50*time.Millisecond)
 		time.Sleep(200 * time.Millisecond)
 		for i := range 8 {
 			if err := c.submit(o, fmt.Sprintf("after-%d", i), newRequest(1, 1000), succeedAfter(time.Duration(100+100*i)*time.Millisecond)); err != nil {
@@ -92,8 +92,8 @@
 		o := c.startOwner()
 		time.Sleep(5 * time.Second)                   // the old clock must be ahead of the new one
 		for i, id := range []string{"w-00", "w-01"} { // discovery keeps the entries from before the restart
-			c.fleet.SetEntry(id, func(w fleet.Worker) fleet.Worker {
-				w.Born = int64(1 + i)
+			c.fleet.OverrideEntry(id, func(w fleet.Worker) fleet.Worker {
+				w.StartTime = int64(1 + i)
 				return w
 			})
 		}
@@ -105,21 +105,23 @@
 			}
 			delayed[worker] = true
 			delayedCalls.Add(1)
-			time.AfterFunc(100*time.Millisecond, func() { c.fleet.StartAgain(worker, 50*time.Millisecond) })
-			return fleettest.Fault{Late: time.Second}
+			time.AfterFunc(100*time.Millisecond, func() { c.fleet.RestartSameID(worker, 50*time.Millisecond) })
+			return fleettest.Fault{Delay: time.Second}
 		})
 		for delayedCalls.Load() < 2 {
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(1500 * time.Millisecond) // the delayed call has been executed and has timed out
-		c.fleet.SetEntry("w-00", nil)
-		c.fleet.SetEntry("w-01", nil)
+		c.fleet.OverrideEntry("w-00", nil)
+		c.fleet.OverrideEntry("w-01", nil)
 		if err := c.submit(o, "job", fullWorkerRequest(), succeedAfter(8*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, 2*time.Second)
-		host := c.fleet.HostOf("job.0.0.0")
-		c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault { return fleettest.Fault{Lost: worker == host} })
+		host := c.fleet.WorkerOf("job.0.0.0")
+		c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
+			return fleettest.Fault{RequestLost: worker == host}
+		})
 		c.awaitState(o, "job", workload.Completed, 30*time.Second)
 	})
 }
@@ -153,9 +155,9 @@
 			t.Fatal(err)
 		}
 		c.awaitStarts(1, time.Second)
-		host := c.fleet.HostOf("job.0.0.0")
+		host := c.fleet.WorkerOf("job.0.0.0")
 		time.Sleep(430 * time.Millisecond) // the end was reported and its write is under way
-		c.fleet.StartAgain(host, 50*time.Millisecond)
+		c.fleet.RestartSameID(host, 50*time.Millisecond)
 		c.awaitState(o, "job", workload.Completed, 5*time.Second)
 		c.assertStarts(1)
 	})
@@ -167,7 +169,7 @@
 	withCell(t, 4, func(c *cell) {
 		c.lease = shortLease
 		o := c.startOwner()
-		c.fleet.Tell(&discoveryObserver{c, o})
+		c.fleet.SetObserver(&discoveryObserver{c, o})
 		time.Sleep(500 * time.Millisecond)
 		if err := c.submit(o, "work", newRequest(40, 8_000), succeedAfter(time.Hour)); err != nil {
 			t.Fatal(err)
@@ -177,7 +179,7 @@
 		var times []time.Duration
 		for round := range 12 {
 			worker := fmt.Sprintf("w-%02d", round%4)
-			c.fleet.StartAgain(worker, pause)
+			c.fleet.RestartSameID(worker, pause)
 			back, before := time.Now().Add(pause), c.fleet.Starts()
 			c.awaitStarts(before+1, 4*time.Second)
 			times = append(times, time.Since(back))
@@ -197,9 +199,11 @@
 	owner *owner
 }
 
-func (e *discoveryObserver) Ended(string)              {}
-func (e *discoveryObserver) Gone(string)               {}
-func (e *discoveryObserver) Born(string, fleet.Worker) { e.owner.SetWorkers(e.cell.fleet.List()) }
+func (e *discoveryObserver) ProcessEnded(string) {}
+func (e *discoveryObserver) EntryExpired(string) {}
+func (e *discoveryObserver) ProcessStarted(string, fleet.Worker) {
+	e.owner.SetWorkers(e.cell.fleet.List())
+}
 
 // A task that crashes its workers is given up also if they restart under the same IDs.
 func TestCrashingTaskOnRestartingWorkers(t *testing.T) {
@@ -212,7 +216,7 @@
 			t.Run(fmt.Sprintf("after %v, %s", pause, during.name), func(t *testing.T) {
 				withCell(t, 12, func(c *cell) {
 					c.lease = shortLease
-					c.fleet.SetStartAgain(pause)
+					c.fleet.SetSameIDRestart(pause)
 					o := c.startOwner()
 					time.Sleep(500 * time.Millisecond)
 					if err := c.submit(o, "culprit", newRequest(6, 1000), crashingPlan(0)); err != nil {
@@ -241,7 +245,7 @@
 			if tick%33 == 20 {
 				for _, w := range c.liveWorkers() {
 					if rng.IntN(3) == 0 {
-						c.fleet.StartAgain(w.ID, time.Duration(50+rng.IntN(3000))*time.Millisecond)
+						c.fleet.RestartSameID(w.ID, time.Duration(50+rng.IntN(3000))*time.Millisecond)
 					}
 				}
 			}
@@ -268,8 +272,8 @@
 			t.Fatal(err)
 		}
 		c.awaitStarts(4, time.Second)
-		c.fleet.SetEntry("w-00", func(w fleet.Worker) fleet.Worker {
-			w.Born += 77
+		c.fleet.OverrideEntry("w-00", func(w fleet.Worker) fleet.Worker {
+			w.StartTime += 77
 			return w
 		})
 		time.Sleep(time.Second)
@@ -284,7 +288,7 @@
 		if running := c.fleet.RunningOn("w-00"); running != 0 {
 			t.Errorf("%d attempts on the worker with a wrong entry, want 0", running)
 		}
-		c.fleet.SetEntry("w-00", nil)
+		c.fleet.OverrideEntry("w-00", nil)
 		time.Sleep(time.Second) // workers are listed every 500 ms
 		if running := c.fleet.RunningOn("w-00"); running == 0 {
 			t.Error("no attempts on the worker after its entry was corrected")
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -24,7 +24,7 @@
 		}
 		c.awaitStarts(1, time.Second)
 		time.Sleep(2 * time.Second)
-		test(c, o, c.fleet.HostOf("lasting.0.0.0"))
+		test(c, o, c.fleet.WorkerOf("lasting.0.0.0"))
 	})
 }
 
@@ -42,8 +42,8 @@
 // assertNotRestarted checks that the long-running task is still in its first attempt on a worker.
 func (c *cell) assertNotRestarted(host string) {
 	c.t.Helper()
-	if got := c.fleet.Starts(); got != 1 || c.fleet.HostOf("lasting.0.0.0") != host {
-		c.t.Errorf("%d attempts started, the last on %q; want 1 on %q", got, c.fleet.HostOf("lasting.0.0.0"), host)
+	if got := c.fleet.Starts(); got != 1 || c.fleet.WorkerOf("lasting.0.0.0") != host {
+		c.t.Errorf("%d attempts started, the last on %q; want 1 on %q", got, c.fleet.WorkerOf("lasting.0.0.0"), host)
 	}
 }
 
@@ -77,7 +77,7 @@
 	t.Run("worker partitioned but running", func(t *testing.T) {
 		withLastingTask(t, func(c *cell, _ *owner, host string) {
 			c.fleet.SetFault(func(_ fleettest.Call, worker string) fleettest.Fault {
-				return fleettest.Fault{Lost: worker == host}
+				return fleettest.Fault{RequestLost: worker == host}
 			})
 			c.awaitStarts(2, 5*time.Second) // fleettest checks that the first attempt has ended
 			c.fleet.SetFault(nil)
@@ -107,7 +107,7 @@
 		gang := newRequest(3, 2000)
 		gang.Steps[0].Gang = true
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
-		c.fleet.SetFault(func(fleettest.Call, string) fleettest.Fault { return fleettest.Fault{Lost: true} })
+		c.fleet.SetFault(func(fleettest.Call, string) fleettest.Fault { return fleettest.Fault{RequestLost: true} })
 		go c.submit(o, "gang", gang, succeedAfter(time.Second))
 		time.Sleep(6 * time.Second)
 		o.caller.SetFault(nil)
--- a/scheduler/leave_test.go
+++ b/scheduler/leave_test.go
@@ -16,7 +16,7 @@
 		leave func(*fleettest.Fleet, string)
 	}{
 		{"draining", func(f *fleettest.Fleet, id string) { f.SetDraining(id) }},
-		{"removed from discovery", func(f *fleettest.Fleet, id string) { f.Drop(id) }},
+		{"removed from discovery", func(f *fleettest.Fleet, id string) { f.Delist(id) }},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 					t.Fatal(err)
 				}
 				c.awaitStarts(2, time.Second)
-				host := c.fleet.HostOf("lasting.0.0.0")
+				host := c.fleet.WorkerOf("lasting.0.0.0")
 				test.leave(c.fleet, host)
 				time.Sleep(time.Second)
 				for _, id := range []string{"a0", "a1", "a2", "a3"} {
@@ -41,13 +41,13 @@
 						t.Fatal(err)
 					}
 					time.Sleep(100 * time.Millisecond)
-					if got := c.fleet.HostOf(id + ".0.0.0"); got == host {
+					if got := c.fleet.WorkerOf(id + ".0.0.0"); got == host {
 						t.Errorf("job %s started on departing worker %s", id, host)
 					}
 				}
 				c.awaitState(o, "running", workload.Completed, 10*time.Second)
-				if c.fleet.HostOf("lasting.0.0.0") != host || c.fleet.Starts() != 6 {
-					t.Errorf("%d attempts started, want 6; long-running task on worker %q, want %q", c.fleet.Starts(), c.fleet.HostOf("lasting.0.0.0"), host)
+				if c.fleet.WorkerOf("lasting.0.0.0") != host || c.fleet.Starts() != 6 {
+					t.Errorf("%d attempts started, want 6; long-running task on worker %q, want %q", c.fleet.Starts(), c.fleet.WorkerOf("lasting.0.0.0"), host)
 				}
 				c.fleet.Crash(host)
 				c.awaitStarts(7, 5*time.Second)
--- a/scheduler/lives.go
+++ b/scheduler/lives.go
@@ -75,14 +75,14 @@
 		former.superseded = true
 	}
 	id.lives = append(id.lives, w)
-	s.workers[info.Life] = w
+	s.workers[info.Incarnation] = w
 	return w
 }
 
 // removeLife removes a life that has ended. The caller must hold s.mu.
 func (s *Scheduler) removeLife(w *worker) {
-	if s.workers[w.info.Life] == w {
-		delete(s.workers, w.info.Life)
+	if s.workers[w.info.Incarnation] == w {
+		delete(s.workers, w.info.Incarnation)
 	}
 	id := s.identities[w.info.ID]
 	id.lives = slices.DeleteFunc(id.lives, func(other *worker) bool { return other == w })
@@ -103,25 +103,25 @@
 // resolveLife returns the known life to which a discovery entry or a stored row refers. One without
 // a start time refers to the newest life. One with a start time completes a newest life that lacks
 // it. The caller must hold s.mu.
-func (s *Scheduler) resolveLife(life fleet.Life) fleet.Life {
+func (s *Scheduler) resolveLife(life fleet.Incarnation) fleet.Incarnation {
 	id := s.identities[life.ID]
 	if id == nil || id.newest() == nil || s.workers[life] != nil {
 		return life
 	}
 	newest := id.newest()
 	switch {
-	case !life.Known():
-		return newest.info.Life
-	case !newest.info.Known():
+	case !life.HasStartTime():
+		return newest.info.Incarnation
+	case !newest.info.HasStartTime():
 		s.setLife(newest, life)
 	}
 	return life
 }
 
 // setLife sets the start time of a life that was known without one. The caller must hold s.mu.
-func (s *Scheduler) setLife(w *worker, life fleet.Life) {
-	delete(s.workers, w.info.Life)
-	w.info.Life = life
+func (s *Scheduler) setLife(w *worker, life fleet.Incarnation) {
+	delete(s.workers, w.info.Incarnation)
+	w.info.Incarnation = life
 	s.workers[life] = w
 }
 
@@ -152,8 +152,8 @@
 // the worker. If a start time is missing, only a decreasing clock shows that: a lower reading that
 // was requested after the last one arrived.
 func (w *worker) fromOtherLife(report fleet.Report, sent time.Time) bool {
-	if report.Born != 0 && w.info.Known() {
-		return report.Born != w.info.Born
+	if report.StartTime != 0 && w.info.HasStartTime() {
+		return report.StartTime != w.info.StartTime
 	}
 	return report.Clock > 0 && report.Clock < w.clock && sent.After(w.clockReadAt)
 }
@@ -161,12 +161,12 @@
 // resolveAnsweringLife returns the life that a report is from and ends all others with the same id.
 // The caller must hold s.mu.
 func (s *Scheduler) resolveAnsweringLife(w *worker, report fleet.Report, sent time.Time) *worker {
-	life := fleet.Life{ID: w.info.ID, Born: report.Born}
+	life := fleet.Incarnation{ID: w.info.ID, StartTime: report.StartTime}
 	answering := w
 	switch {
 	case w.fromOtherLife(report, sent):
 		answering = s.findOrAddSuccessor(w, life)
-	case report.Born != 0 && !w.info.Known():
+	case report.StartTime != 0 && !w.info.HasStartTime():
 		if known := s.workers[life]; known != nil {
 			answering = known
 		} else {
@@ -187,14 +187,14 @@
 
 // findOrAddSuccessor returns the life that answered in place of an earlier one, adding it if it is
 // new.
-func (s *Scheduler) findOrAddSuccessor(former *worker, life fleet.Life) *worker {
+func (s *Scheduler) findOrAddSuccessor(former *worker, life fleet.Incarnation) *worker {
 	if known := s.workers[life]; known != nil && known != former {
 		return known
 	}
 	info := former.info
-	info.Life, info.Draining = life, false
+	info.Incarnation, info.Draining = life, false
 	next := s.addLife(info)
-	if !former.discoveredLife.Known() { // an entry without a start time describes the current life
+	if !former.discoveredLife.HasStartTime() { // an entry without a start time describes the current life
 		next.discoveredLife, next.discovered, next.recentlyDiscovered = former.discoveredLife, former.discovered, former.recentlyDiscovered
 	}
 	return next
@@ -206,7 +206,7 @@
 // hold s.mu.
 func (s *Scheduler) replaceLife(former, next *worker, report fleet.Report) {
 	s.metrics.workersRestarted.Add(1)
-	s.log.Warn().Str("worker", former.info.ID).Int64("born", next.info.Born).Int64("born_before", former.info.Born).
+	s.log.Warn().Str("worker", former.info.ID).Int64("born", next.info.StartTime).Int64("born_before", former.info.StartTime).
 		Uint64("seen", former.lastEndSequence).Uint64("noted", former.persistedSequence).Int("attempts", len(former.tasks)).
 		Int("running", len(report.Running)).Int("ended", len(report.Ended)).Msg("worker has started again")
 	reported := reportedAttempts(report)
--- a/scheduler/lives_order_test.go
+++ b/scheduler/lives_order_test.go
@@ -108,11 +108,11 @@
 	state := workload.State("")
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		state, _ = o.State(c.ctx, name)
-		if state == want || state == workload.Failed && c.fleet.EndedUnder(name) >= 2 {
+		if state == want || state == workload.Failed && c.fleet.MaxWorkersLost(name) >= 2 {
 			return
 		}
 	}
-	c.t.Errorf("job %s is %q, want %q; %d workers ended under one of its tasks", name, state, want, c.fleet.EndedUnder(name))
+	c.t.Errorf("job %s is %q, want %q; %d workers ended under one of its tasks", name, state, want, c.fleet.MaxWorkersLost(name))
 }
 
 // applyEvent applies an event, and returns the owner of the shard after it.
@@ -121,18 +121,18 @@
 	worker := func(number int) string { return fmt.Sprintf("w-%02d", number%12) }
 	switch e.Kind {
 	case restartWorker:
-		c.fleet.StartAgain(worker(e.Index), pause)
+		c.fleet.RestartSameID(worker(e.Index), pause)
 	case restartRack: // a rack has two workers
-		c.fleet.StartAgain(worker(e.Index&^1), pause)
-		c.fleet.StartAgain(worker(e.Index|1), pause/2)
+		c.fleet.RestartSameID(worker(e.Index&^1), pause)
+		c.fleet.RestartSameID(worker(e.Index|1), pause/2)
 	case restartHalf:
 		for i := range 6 {
-			c.fleet.StartAgain(worker(e.Index+i), pause/time.Duration(i+1))
+			c.fleet.RestartSameID(worker(e.Index+i), pause/time.Duration(i+1))
 		}
 	case restartTwice:
-		c.fleet.StartAgain(worker(e.Index), 50*time.Millisecond)
+		c.fleet.RestartSameID(worker(e.Index), 50*time.Millisecond)
 		time.Sleep(pause / 4)
-		c.fleet.StartAgain(worker(e.Index), pause/4)
+		c.fleet.RestartSameID(worker(e.Index), pause/4)
 	case killOwner:
 		o.kill()
 		time.Sleep(pause)
@@ -142,12 +142,12 @@
 		time.Sleep(pause / 2)
 		o.client.resume()
 	case delayOrders:
-		c.injectFaultEveryThirdCall(fleettest.Fault{Late: pause})
+		c.injectFaultEveryThirdCall(fleettest.Fault{Delay: pause})
 	case loseAnswers:
-		c.injectFaultEveryThirdCall(fleettest.Fault{Mute: true})
+		c.injectFaultEveryThirdCall(fleettest.Fault{ResponseLost: true})
 	case disconnectWorker:
 		c.fleet.SetFault(func(_ fleettest.Call, to string) fleettest.Fault {
-			return fleettest.Fault{Lost: to == worker(e.Index)}
+			return fleettest.Fault{RequestLost: to == worker(e.Index)}
 		})
 	case clearCallFaults:
 		c.fleet.SetFault(nil)
@@ -156,7 +156,7 @@
 		time.Sleep(pause / 4)
 		o.caller.SetFault(nil)
 	case stepClockBack:
-		c.fleet.StepTimeOfDay(-time.Hour)
+		c.fleet.StepWallClock(-time.Hour)
 	}
 	return o
 }
--- a/scheduler/lives_test.go
+++ b/scheduler/lives_test.go
@@ -31,7 +31,7 @@
 					return fleettest.Fault{}
 				})
 				c.fleet.Replace("w-01", fleet.Worker{
-					Life: fleet.Life{ID: "w-91"}, Service: service, Rack: "r1-0", Labels: []string{"a"},
+					Incarnation: fleet.Incarnation{ID: "w-91"}, Service: service, Rack: "r1-0", Labels: []string{"a"},
 					Capacity: resource.Amount{CPU: 16_000, Memory: 64 * gigabyte},
 				})
 				c.awaitState(o, "job", workload.Completed, 6*time.Second)
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -124,11 +124,11 @@
 // findOrAddWorker returns a life of a worker, adding it if discovery has not listed it yet. Until
 // then the worker is called at its stored address: reading the workers of a large deployment takes
 // long, and clients wait for the results on this one.
-func (s *Scheduler) findOrAddWorker(life fleet.Life, address string) *worker {
+func (s *Scheduler) findOrAddWorker(life fleet.Incarnation, address string) *worker {
 	life = s.resolveLife(life)
 	w := s.workers[life]
 	if w == nil {
-		w = s.addLife(fleet.Worker{Life: life})
+		w = s.addLife(fleet.Worker{Incarnation: life})
 	}
 	if w.info.Address == "" {
 		w.info.Address = address
--- a/scheduler/loss_test.go
+++ b/scheduler/loss_test.go
@@ -21,8 +21,8 @@
 		name  string
 		fault fleettest.Fault
 	}{
-		{"responses lost", fleettest.Fault{Mute: true}},
-		{"orders delayed", fleettest.Fault{Late: 3 * time.Second}},
+		{"responses lost", fleettest.Fault{ResponseLost: true}},
+		{"orders delayed", fleettest.Fault{Delay: 3 * time.Second}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 	withCell(t, 0, func(c *cell) {
 		for i := range 100 {
 			c.fleet.Add(fleet.Worker{
-				Life: fleet.Life{ID: fmt.Sprintf("w-%03d", i)}, Service: testService, Rack: "r1-0", Labels: []string{"a"},
+				Incarnation: fleet.Incarnation{ID: fmt.Sprintf("w-%03d", i)}, Service: testService, Rack: "r1-0", Labels: []string{"a"},
 				Capacity: resource.Amount{CPU: 16_000, Memory: 64 * gigabyte},
 			})
 		}
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -63,7 +63,7 @@
 		clock, err := s.client.Start(callCtx, info, order)
 		cancel()
 		s.metrics.start(time.Since(sentAt), err)
-		if s.handleStartResult(t, number, startResult{info.Life, order.Token, clock, err, time.Since(sentAt), expiry, uncertain}) {
+		if s.handleStartResult(t, number, startResult{info.Incarnation, order.Token, clock, err, time.Since(sentAt), expiry, uncertain}) {
 			return
 		}
 		uncertain = uncertain || !fleet.IsUnsent(err)
@@ -114,7 +114,7 @@
 
 // startResult is the result of one start call.
 type startResult struct {
-	life      fleet.Life // the life the call was addressed to
+	life      fleet.Incarnation // the life the call was addressed to
 	token     uint64
 	clock     fleet.Clock
 	err       error
@@ -135,7 +135,7 @@
 		return true
 	}
 	w := t.worker
-	if fleet.IsClosed(err) && !fleet.IsUnsent(err) {
+	if fleet.IsConnectionClosed(err) && !fleet.IsUnsent(err) {
 		t.startConnectionClosed = true
 	}
 	if fleet.IsUnsent(err) && !result.uncertain && t.state == taskStarting {
@@ -151,7 +151,7 @@
 	var (
 		refused  *fleet.RefusedError
 		replaced *fleet.ReplacedError
-		busy     *fleet.BusyError
+		busy     *fleet.UnavailableError
 	)
 	switch {
 	case errors.As(err, &refused):
@@ -185,12 +185,12 @@
 	switch reason {
 	case fleet.Fenced:
 		s.handleFenced(w, result.token)
-	case fleet.NoRoom:
+	case fleet.InsufficientCapacity:
 		w.blockedUntil = time.Now().Add(refusalBackoff)
-	case fleet.NoTicket:
+	case fleet.InvalidTicket:
 		t.step.advice.invalidate(w)
 	}
-	s.rejectStart(t, string(reason), result.uncertain || reason == fleet.Outdated)
+	s.rejectStart(t, string(reason), result.uncertain || reason == fleet.StaleAttempt)
 }
 
 // rejectStart revokes the grant of a task whose start was refused or could not be sent. If
@@ -285,7 +285,7 @@
 func (s *Scheduler) requestReport(ctx context.Context, w *worker, t *task, number int) {
 	s.mu.Lock()
 	wanted := t.worker == w && t.attempt == number && t.unwanted() && t.startedAt.IsZero()
-	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), Noted: w.ackableSequence()}
+	order := fleet.HoldOrder{Token: s.tokenOf(w.info.ID), AckedThrough: w.ackableSequence()}
 	info, sent := w.info, time.Now()
 	s.mu.Unlock()
 	if !wanted {
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -18,8 +18,8 @@
 // submitToQueue submits a job to a given queue.
 func (c *cell) submitToQueue(o *owner, queue workload.Queue, id string, request workload.Request, work time.Duration) {
 	c.t.Helper()
-	c.fleet.Know(id, fleettest.Kind{
-		Request: request, Attempts: queue.MaxFailures, Advised: queue.Advice.Enabled(),
+	c.fleet.RegisterJob(id, fleettest.JobSpec{
+		Request: request, MaxFailures: queue.MaxFailures, NeedsTicket: queue.Advice.Enabled(),
 		Plan: func(workload.TaskID, int) fleettest.Plan { return fleettest.Plan{Work: work} },
 	})
 	ctx, cancel := context.WithTimeout(c.ctx, 3*time.Second)
--- a/scheduler/progress_internal_test.go
+++ b/scheduler/progress_internal_test.go
@@ -14,8 +14,8 @@
 	record := workload.Record{Request: workload.Request{Steps: []workload.Step{{Count: 6}}}}
 	j := newJob("j", record, newAccountState(account.Terms{}), time.Now())
 	hosts := []*worker{
-		newWorker(fleet.Worker{Life: fleet.Life{ID: "a"}, Address: "10.0.0.1:80"}),
-		newWorker(fleet.Worker{Life: fleet.Life{ID: "b"}, Address: "10.0.0.2:80"}),
+		newWorker(fleet.Worker{Incarnation: fleet.Incarnation{ID: "a"}, Address: "10.0.0.1:80"}),
+		newWorker(fleet.Worker{Incarnation: fleet.Incarnation{ID: "b"}, Address: "10.0.0.2:80"}),
 	}
 	for i, task := range j.rounds[0].steps[0].tasks {
 		task.attempt = 1
--- a/scheduler/quota_test.go
+++ b/scheduler/quota_test.go
@@ -36,7 +36,7 @@
 				a.mustSubmit("other", "beside", c.queue, newRequest(8, 4_000), time.Second)
 				a.awaitState("other", "beside", workload.Completed, 3*time.Second)
 				a.awaitState("small", "wide", workload.Completed, 6*time.Second)
-				if most := c.fleet.MostUsed("small"); most.CPU != 8_000 {
+				if most := c.fleet.PeakUsage("small"); most.CPU != 8_000 {
 					t.Errorf("peak CPU usage of account small is %v, want 8", most.CPU)
 				}
 			})
@@ -89,7 +89,7 @@
 		a.setTerms(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(4_000)})
 		a.mustSubmit("a", "second", c.queue, newRequest(2, 4_000), time.Second)
 		time.Sleep(time.Second)
-		if used := c.fleet.UsedBy("a"); used.CPU != 16_000 {
+		if used := c.fleet.AccountUsage("a"); used.CPU != 16_000 {
 			t.Errorf("CPU usage after the quota was lowered is %v, want 16", used.CPU)
 		}
 		a.setTerms(account.Terms{Name: "a", Weight: 1, Quota: cpuQuota(24_000)})
@@ -115,7 +115,7 @@
 		lookups := workload.Queue{Name: "lookups", Service: testService, Priority: 0, MaxFailures: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second}
 		a.mustSubmit("a", "urgent", lookups, newRequest(1, 4_000), time.Second)
 		a.awaitState("a", "urgent", workload.Completed, 2500*time.Millisecond)
-		if used := c.fleet.UsedBy("b"); used.CPU != 16_000 {
+		if used := c.fleet.AccountUsage("b"); used.CPU != 16_000 {
 			t.Errorf("CPU usage of account b is %v, want 16", used.CPU)
 		}
 		a.awaitState("a", "batch-a", workload.Completed, 15*time.Second)
@@ -169,7 +169,7 @@
 		a.mustSubmit("a", "job", c.queue, newRequest(4, 4_000), 20*time.Second)
 		c.awaitStarts(4, time.Second)
 		c.fleet.SetFault(func(call fleettest.Call, _ string) fleettest.Fault {
-			return fleettest.Fault{Lost: call == fleettest.CallStop}
+			return fleettest.Fault{RequestLost: call == fleettest.CallStop}
 		})
 		if err := a.owner.Scheduler.Cancel(c.ctx, "a", "job"); err != nil {
 			t.Fatal(err)
@@ -177,7 +177,7 @@
 		a.replaceOwner()
 		a.mustSubmit("a", "next", c.queue, newRequest(4, 4_000), time.Second)
 		time.Sleep(time.Second)
-		if c.fleet.Began("next") {
+		if c.fleet.JobStarted("next") {
 			t.Error("job next started while the cancelled job used the whole quota")
 		}
 		c.fleet.SetFault(nil)
@@ -284,7 +284,7 @@
 	source := rand.New(rand.NewPCG(random.Uint64(), 1)) // own source, since the order of concurrent calls varies
 	return func(call fleettest.Call, _ string) fleettest.Fault {
 		if call == fleettest.CallStart && source.IntN(3) == 0 {
-			return fleettest.Fault{Late: time.Duration(200+source.IntN(3000)) * time.Millisecond}
+			return fleettest.Fault{Delay: time.Duration(200+source.IntN(3000)) * time.Millisecond}
 		}
 		return fleettest.Fault{}
 	}
@@ -354,9 +354,9 @@
 	all := job.request.Steps[0].Need.Times(int64(job.request.Steps[0].Count))
 	quota := resource.Amount(s.terms[job.account].Quota)
 	capacity := resource.Amount{CPU: 12 * fullCapacity.CPU, Memory: 12 * fullCapacity.Memory}
-	stalled := s.fleet.UsedByJob(id).IsZero() &&
-		s.fleet.UsedBy(job.account).Times(2).CPU < quota.CPU && s.fleet.UsedBy(job.account).Plus(all).CPU <= quota.CPU &&
-		s.fleet.Used().Plus(all.Times(2)).CPU <= capacity.CPU && s.fleet.Used().Times(2).CPU < capacity.CPU
+	stalled := s.fleet.JobUsage(id).IsZero() &&
+		s.fleet.AccountUsage(job.account).Times(2).CPU < quota.CPU && s.fleet.AccountUsage(job.account).Plus(all).CPU <= quota.CPU &&
+		s.fleet.TotalUsage().Plus(all.Times(2)).CPU <= capacity.CPU && s.fleet.TotalUsage().Times(2).CPU < capacity.CPU
 	switch {
 	case !stalled:
 		job.stalledSince = time.Time{}
--- a/scheduler/relist_test.go
+++ b/scheduler/relist_test.go
@@ -14,7 +14,7 @@
 	outage := func(c *cell, o *owner) {
 		o.caller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
 		time.Sleep(3 * time.Second)
-		c.fleet.Unlist(true)
+		c.fleet.SetDiscoveryEmpty(true)
 		time.Sleep(600 * time.Millisecond)
 		o.caller.SetFault(nil)
 		time.Sleep(200 * time.Millisecond)
@@ -43,7 +43,7 @@
 			if got := c.fleet.Starts(); got != 0 {
 				t.Errorf("%d starts on workers that were not listed again, want 0", got)
 			}
-			c.fleet.Unlist(false)
+			c.fleet.SetDiscoveryEmpty(false)
 			c.awaitState(o, "job", workload.Completed, 3*time.Second)
 		})
 	})
@@ -51,7 +51,7 @@
 		withCell(t, 2, func(c *cell) {
 			o := c.startOwner()
 			time.Sleep(time.Second)
-			c.fleet.Unlist(true)
+			c.fleet.SetDiscoveryEmpty(true)
 			time.Sleep(600 * time.Millisecond)
 			if err := c.submit(o, "job", newRequest(2, 1000), succeedAfter(500*time.Millisecond)); err != nil {
 				t.Fatal(err)
@@ -60,7 +60,7 @@
 			if got := c.fleet.Starts(); got != 0 {
 				t.Errorf("%d starts on workers without an entry, want 0", got)
 			}
-			c.fleet.Unlist(false)
+			c.fleet.SetDiscoveryEmpty(false)
 			c.awaitState(o, "job", workload.Completed, 3*time.Second)
 		})
 	})
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -24,7 +24,7 @@
 		s.boundLeaseAtFirstReport(w, now)
 	}
 	if w.unresponsive || w.lastReportAt.IsZero() {
-		s.log.Info().Str("worker", w.info.ID).Int64("born", report.Born).Int64("clock", int64(report.Clock)).Int64("clock_before", int64(w.clock)).
+		s.log.Info().Str("worker", w.info.ID).Int64("born", report.StartTime).Int64("clock", int64(report.Clock)).Int64("clock_before", int64(w.clock)).
 			Uint64("noted", w.persistedSequence).Int("running", len(report.Running)).Msg("worker answers")
 	}
 	if !w.unresponsive {
@@ -61,15 +61,15 @@
 
 // recordUnread records which part of a report could not be decoded. The caller must hold s.mu.
 func (s *Scheduler) recordUnread(w *worker, report fleet.Report, now time.Time) {
-	w.unreadFrom = report.UnreadFrom
-	if report.Unread == 0 {
+	w.unreadFrom = report.UndecodedFrom
+	if report.UndecodedRows == 0 {
 		w.unreadSince = time.Time{}
 		return
 	}
-	s.metrics.unreadRows.Add(int64(report.Unread))
+	s.metrics.unreadRows.Add(int64(report.UndecodedRows))
 	if w.unreadSince.IsZero() {
 		w.unreadSince = now
-		s.log.Warn().Str("worker", w.info.ID).Int("rows", report.Unread).Uint64("from_end", report.UnreadFrom).
+		s.log.Warn().Str("worker", w.info.ID).Int("rows", report.UndecodedRows).Uint64("from_end", report.UndecodedFrom).
 			Msg("rows of a worker's report cannot be read")
 	}
 }
@@ -161,7 +161,7 @@
 	running := t.state == taskRunning || t.state == taskDone
 	switch {
 	case running && !t.startedAt.IsZero() && t.startedAt.Before(sent):
-		s.endAttempt(t, fleet.Lapsed, "", "not in the worker's report")
+		s.endAttempt(t, fleet.LeaseExpired, "", "not in the worker's report")
 	case t.unwanted() && !t.stoppedAt.IsZero() && t.stoppedAt.Before(sent):
 		s.endAttempt(t, fleet.Stopped, "", "stopped before it began")
 	case t.state == taskStarting && t.recovered:
@@ -170,7 +170,7 @@
 }
 
 // handleEnd processes an end in a report.
-func (s *Scheduler) handleEnd(w *worker, end fleet.End) {
+func (s *Scheduler) handleEnd(w *worker, end fleet.EndedAttempt) {
 	if end.Sequence <= w.lastEndSequence && !w.unreadSequences[end.Sequence] {
 		return
 	}
@@ -202,7 +202,7 @@
 
 // handleLateEnd processes the end of an attempt that the owner had given up. A task that such an
 // attempt completed is done.
-func (s *Scheduler) handleLateEnd(id workload.TaskID, end fleet.End) {
+func (s *Scheduler) handleLateEnd(id workload.TaskID, end fleet.EndedAttempt) {
 	j := s.jobs[id.Job]
 	if j == nil || j.state.Final() {
 		return
--- a/scheduler/same_id_test.go
+++ b/scheduler/same_id_test.go
@@ -61,7 +61,7 @@
 // hideBirthTimes makes workers omit their start time, so that only the clock shows a restart.
 func (c *cell) hideBirthTimes() {
 	for _, w := range c.fleet.List() {
-		w.Born = 0
+		w.StartTime = 0
 		c.fleet.Add(w)
 	}
 }
@@ -69,6 +69,6 @@
 // restartAllWorkers ends every worker and restarts it under its ID after a pause.
 func (c *cell) restartAllWorkers(pause time.Duration) {
 	for _, w := range c.fleet.List() {
-		c.fleet.StartAgain(w.ID, pause)
+		c.fleet.RestartSameID(w.ID, pause)
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -110,11 +110,11 @@
 	mu      sync.Mutex
 	jobs    map[string]*job // all jobs whose state is retained, by ID
 	active  map[string]*job // jobs that are not final, by ID
-	workers map[fleet.Life]*worker
+	workers map[fleet.Incarnation]*worker
 	// identities tracks the successive lives of each worker ID.
 	identities map[string]*identity
 	// endedLives holds ended lives that discovery still lists.
-	endedLives map[fleet.Life]bool
+	endedLives map[fleet.Incarnation]bool
 	dirty      []*job // changed since they were last written
 	queues     map[string]workload.Queue
 	// directory lists the accounts of the current configuration; accounts holds the
@@ -156,8 +156,8 @@
 		shard: config.Shard, lateness: config.lateness, gate: newEvacuationGate(config), lease: config.Lease, keepFinal: config.KeepFinal,
 		store: store, client: client, term: term, log: log.With().Uint64("token", term.Token()).Logger(), metrics: metrics,
 		commitInterval: commitIntervalFor(config.PartitionWrites), times: config.workerTimes(), remoteFactor: config.remoteFactor(),
-		jobs: map[string]*job{}, active: map[string]*job{}, workers: map[fleet.Life]*worker{},
-		identities: map[string]*identity{}, endedLives: map[fleet.Life]bool{}, maxLease: max(config.Lease, config.LongestLease),
+		jobs: map[string]*job{}, active: map[string]*job{}, workers: map[fleet.Incarnation]*worker{},
+		identities: map[string]*identity{}, endedLives: map[fleet.Incarnation]bool{}, maxLease: max(config.Lease, config.LongestLease),
 		queues: map[string]workload.Queue{}, accounts: map[string]*accountState{}, demands: map[string]headroom.Demand{},
 		stoppingStrays: map[string]bool{}, bundles: map[string]*bundle{}, eligibleShares: map[string]float64{}, fleetSpeed: 1,
 		formerLeaseExpiry: latestLeaseExpiry(term.FormerSentBefore().Add(leaseExtensionWindow), config.Lease), Loaded: make(chan struct{}),
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -173,7 +173,7 @@
 		for _, w := range c.fleet.List() {
 			c.fleet.Crash(w.ID)
 		}
-		c.fleet.Add(fleet.Worker{Life: fleet.Life{ID: "w-9"}, Service: testService, Capacity: o.workerCapacity()})
+		c.fleet.Add(fleet.Worker{Incarnation: fleet.Incarnation{ID: "w-9"}, Service: testService, Capacity: o.workerCapacity()})
 		// The lease of the crashed worker expires first; then about 3 s of work remain.
 		c.awaitState(o, "job", workload.Completed, 13*time.Second)
 	})
--- a/scheduler/withdraw_test.go
+++ b/scheduler/withdraw_test.go
@@ -139,8 +139,8 @@
 		if got := <-answer; !errors.As(got.err, &overloaded) {
 			accepted++
 			c.awaitState(o, id, workload.Completed, 40*time.Second)
-		} else if _, err := o.State(c.ctx, id); err == nil || c.fleet.Began(id) {
-			c.t.Errorf("job %s was rejected but is known or has started (State error %v, started %v)", id, err, c.fleet.Began(id))
+		} else if _, err := o.State(c.ctx, id); err == nil || c.fleet.JobStarted(id) {
+			c.t.Errorf("job %s was rejected but is known or has started (State error %v, started %v)", id, err, c.fleet.JobStarted(id))
 		}
 	}
 	c.t.Logf("%d of %d jobs were accepted", accepted, len(answers))
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -17,7 +17,7 @@
 	// whether it lists it or may have lost the entry in an outage of the store. The capacity of a
 	// life is discovered only from its own entry.
 	discovered         bool
-	discoveredLife     fleet.Life
+	discoveredLife     fleet.Incarnation
 	recentlyDiscovered bool
 	// superseded is whether a later life with the same id is known.
 	superseded bool
@@ -126,8 +126,8 @@
 
 // observeLifeClock records a clock reading if it is from the worker's own life. An attempt may have moved
 // to a later life, with another clock, before its call is answered.
-func (w *worker) observeLifeClock(life fleet.Life, clock fleet.Clock, now time.Time) {
-	if w.info.Life == life {
+func (w *worker) observeLifeClock(life fleet.Incarnation, clock fleet.Clock, now time.Time) {
+	if w.info.Incarnation == life {
 		w.observeClock(clock, now)
 	}
 }
@@ -213,30 +213,30 @@
 func (s *Scheduler) SetWorkers(list []fleet.Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	listed := make(map[fleet.Life]bool, len(list))
+	listed := make(map[fleet.Incarnation]bool, len(list))
 	for _, info := range list {
-		listed[info.Life] = true
-		if !s.endedLives[info.Life] {
+		listed[info.Incarnation] = true
+		if !s.endedLives[info.Incarnation] {
 			s.updateWorker(info)
 		}
 	}
 	s.startPollingAll()
-	maps.DeleteFunc(s.endedLives, func(life fleet.Life, _ bool) bool { return !listed[life] })
+	maps.DeleteFunc(s.endedLives, func(life fleet.Incarnation, _ bool) bool { return !listed[life] })
 	for _, w := range s.workers {
 		if w.discovered && !listed[w.discoveredLife] {
 			w.discovered = false
 			w.recentlyDiscovered = s.listIncomplete(time.Now()) || !s.term.FailingSince().IsZero()
 			w.leaving = w.leaving || !w.unresponsive && !w.superseded
-			s.log.Info().Str("worker", w.info.ID).Int64("born", w.info.Born).Int("attempts", len(w.tasks)).Msg("worker is no longer listed")
+			s.log.Info().Str("worker", w.info.ID).Int64("born", w.info.StartTime).Int("attempts", len(w.tasks)).Msg("worker is no longer listed")
 		}
 	}
 	wake(s.dispatchWake)
 }
 
 func (s *Scheduler) updateWorker(info fleet.Worker) {
-	entryLife := info.Life
-	info.Life = s.resolveLife(info.Life)
-	w := s.workers[info.Life]
+	entryLife := info.Incarnation
+	info.Incarnation = s.resolveLife(info.Incarnation)
+	w := s.workers[info.Incarnation]
 	if w == nil {
 		w = s.addLife(info)
 	}
--- a/tool/losses.go
+++ b/tool/losses.go
@@ -41,7 +41,7 @@
 	t := newTable("WINDOW", "QUEUE", "CAUSE", "JOBS", "COULD BE SAVED")
 	for _, loss := range losses {
 		saved := "no"
-		if loss.Cause.Saveable() {
+		if loss.Cause.Avoidable() {
 			saved = "yes"
 		}
 		t.row(loss.Window.String(), loss.Queue, string(loss.Cause), fmt.Sprint(loss.Jobs), saved)
@@ -64,11 +64,11 @@
 	t := newTable("PART", "NAME", "ASKED", "IN TIME", "LATE", "REFUSED", "FAILED", "EARNED")
 	for _, group := range []struct {
 		part string
-		rows []platform.DayShare
+		rows []platform.ReportRow
 	}{{"class", report.Classes}, {"window", report.Windows}} {
 		for _, row := range group.rows {
-			t.row(group.part, row.Name, fmt.Sprint(row.Asked), fmt.Sprint(row.InTime), fmt.Sprint(row.Late),
-				fmt.Sprint(row.Refused), fmt.Sprint(row.Failed), fmt.Sprintf("%.2f", row.Earned))
+			t.row(group.part, row.Name, fmt.Sprint(row.Requests), fmt.Sprint(row.OnTime), fmt.Sprint(row.Late),
+				fmt.Sprint(row.Refused), fmt.Sprint(row.Failed), fmt.Sprintf("%.2f", row.CreditRatio))
 		}
 	}
 	if err := t.flush(); err != nil {
--- a/tool/why.go
+++ b/tool/why.go
@@ -27,7 +27,7 @@
 	if passed > 0 {
 		fmt.Fprintf(os.Stderr, "chutereach: %d lines are no log lines and were passed over\n", passed)
 	}
-	story, err := explain.Tell(lines, w.Args.Job)
+	story, err := explain.JobHistory(lines, w.Args.Job)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	return lines, passed, nil
 }
 
-func printStory(story explain.Story) error {
+func printStory(story explain.History) error {
 	for _, sentence := range story.Summary {
 		fmt.Fprintln(out, sentence)
 	}
--- a/transfer/limit.go
+++ b/transfer/limit.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Progressed reports that data of the exchange was sent or received. It restarts the stall
+// ReportProgress reports that data of the exchange was sent or received. It restarts the stall
 // timer of ctx, if it has one.
-func Progressed(ctx context.Context) {
+func ReportProgress(ctx context.Context) {
 	if w, ok := ctx.Value(watchdogKey{}).(*watchdog); ok {
 		w.recordProgress()
 	}
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -23,18 +23,18 @@
 	return Received{r.Bytes + other.Bytes, r.Took + other.Took}
 }
 
-// BrokenOffError is returned when reading a response body failed before its end. Received
+// TruncatedError is returned when reading a response body failed before its end. Received
 // covers the part that was read.
-type BrokenOffError struct {
+type TruncatedError struct {
 	Received
 	Cause error
 }
 
-func (e *BrokenOffError) Error() string {
+func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("response body truncated after %d bytes in %v: %v", e.Bytes, e.Took.Round(time.Millisecond), e.Cause)
 }
 
-func (e *BrokenOffError) Unwrap() error { return e.Cause }
+func (e *TruncatedError) Unwrap() error { return e.Cause }
 
 // TooLargeError is returned when a response body is longer than Limit bytes.
 type TooLargeError struct{ Limit int64 }
@@ -51,16 +51,16 @@
 	received := Received{len(data), time.Since(start)}
 	switch {
 	case err != nil:
-		return nil, received, &BrokenOffError{received, Cause(ctx, err)}
+		return nil, received, &TruncatedError{received, Cause(ctx, err)}
 	case int64(len(data)) > limit:
 		return nil, received, &TooLargeError{limit}
 	}
 	return data, received, nil
 }
 
-// Sending returns a request body for data that reports progress to the stall timer of ctx as
+// RequestBody returns a request body for data that reports progress to the stall timer of ctx as
 // it is sent. Bodies of up to maxReadSize bytes report none: one read sends them whole.
-func Sending(ctx context.Context, data []byte) io.ReadCloser {
+func RequestBody(ctx context.Context, data []byte) io.ReadCloser {
 	if len(data) <= maxReadSize {
 		return io.NopCloser(bytes.NewReader(data))
 	}
@@ -80,7 +80,7 @@
 func (r *progressReader) Read(data []byte) (int, error) {
 	n, err := r.body.Read(data[:min(len(data), maxReadSize)])
 	if n > 0 {
-		Progressed(r.ctx)
+		ReportProgress(r.ctx)
 	}
 	return n, err
 }
@@ -88,7 +88,7 @@
 // ReceivedBefore returns how much of a response was read before err, or the zero value if err
 // wraps no BrokenOffError.
 func ReceivedBefore(err error) Received {
-	var truncated *BrokenOffError
+	var truncated *TruncatedError
 	if errors.As(err, &truncated) {
 		return truncated.Received
 	}
--- a/transfer/transfer_test.go
+++ b/transfer/transfer_test.go
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := transfer.WithStallLimit(t.Context(), time.Second, nil)
 		cancel()
-		transfer.Progressed(ctx)
+		transfer.ReportProgress(ctx)
 		time.Sleep(time.Minute)
 		var stalled *transfer.StalledError
 		if errors.As(context.Cause(ctx), &stalled) {
--- a/workload/crashes.go
+++ b/workload/crashes.go
@@ -55,11 +55,11 @@
 }
 
 // Life returns the incarnation that was lost.
-func (l LostWorker) Life() fleet.Life { return fleet.Life{ID: l.ID, Born: l.Born} }
+func (l LostWorker) Life() fleet.Incarnation { return fleet.Incarnation{ID: l.ID, StartTime: l.Born} }
 
 // WithLostAttempt returns c with the loss of an attempt whose worker may have crashed.
-func (c CrashHistory) WithLostAttempt(worker fleet.Life, evidence LossEvidence) CrashHistory {
-	c.Unresolved = append(c.unresolvedExcept(worker), LostWorker{worker.ID, worker.Born, evidence == EarlyLoss})
+func (c CrashHistory) WithLostAttempt(worker fleet.Incarnation, evidence LossEvidence) CrashHistory {
+	c.Unresolved = append(c.unresolvedExcept(worker), LostWorker{worker.ID, worker.StartTime, evidence == EarlyLoss})
 	c.Suspected = c.Suspected || evidence != LateLoss
 	return c
 }
@@ -71,14 +71,14 @@
 }
 
 // WithWorkerAlive returns c after a lost worker has responded again, which rules out a crash.
-func (c CrashHistory) WithWorkerAlive(worker fleet.Life) CrashHistory {
+func (c CrashHistory) WithWorkerAlive(worker fleet.Incarnation) CrashHistory {
 	c.Unresolved = c.unresolvedExcept(worker)
 	return c
 }
 
 // WithWorkerCrash returns c after a lost worker is confirmed to have ended. attempt is the task's
 // latest attempt. A worker that is not recorded as lost leaves c unchanged.
-func (c CrashHistory) WithWorkerCrash(worker fleet.Life, attempt int) CrashHistory {
+func (c CrashHistory) WithWorkerCrash(worker fleet.Incarnation, attempt int) CrashHistory {
 	i := slices.IndexFunc(c.Unresolved, func(lost LostWorker) bool { return lost.Life() == worker })
 	if i < 0 {
 		return c
@@ -104,7 +104,7 @@
 }
 
 // unresolvedExcept returns the lost workers other than the given one.
-func (c CrashHistory) unresolvedExcept(worker fleet.Life) []LostWorker {
+func (c CrashHistory) unresolvedExcept(worker fleet.Incarnation) []LostWorker {
 	var rest []LostWorker
 	for _, lost := range c.Unresolved {
 		if lost.Life() != worker {
--- a/workload/crashes_test.go
+++ b/workload/crashes_test.go
@@ -12,7 +12,7 @@
 )
 
 // life returns the incarnation of a worker that never restarts.
-func life(worker string) fleet.Life { return fleet.Life{ID: worker, Born: 1} }
+func life(worker string) fleet.Incarnation { return fleet.Incarnation{ID: worker, StartTime: 1} }
 
 // crashesAfter returns the record of a task after one worker crash per piece of evidence.
 func crashesAfter(evidence ...workload.LossEvidence) workload.CrashHistory {
