--- a/hall/bench_test.go
+++ b/hall/bench_test.go
@@ -214,7 +214,7 @@
 				if perSecond > 0 {
 					inserts = int64(span / (100 * time.Millisecond))
 				}
-				u.summed = time.Time{}
+				u.summaryTime = time.Time{}
 				b.ReportMetric(float64(table.Commits.Load()-commits-inserts)/span.Seconds(), "txn/s")
 				b.ReportMetric(float64(table.Reads.Load()-reads)/span.Seconds(), "reads/s")
 				b.ReportMetric(float64(u.Summary().Rows-rows)/span.Seconds(), "rows/s")
@@ -245,7 +245,7 @@
 
 // Disown implements ownership.Owner.
 func (t *takeoverBox) Disown(string) time.Time {
-	t.own.cancel(errDisowned)
+	t.own.cancel(errStopped)
 	return time.Now()
 }
 
@@ -277,7 +277,7 @@
 		time.Sleep(4 * time.Second) // until it counts as settled
 		insert(b, table, rev, "long", 1, 1)
 		first.cancel()
-		u.cancel(errDisowned)
+		u.cancel(errStopped)
 		died := time.Now()
 		insert(b, table, rev, "long", 1, 1)
 		next := <-second.unit
--- a/hall/decide.go
+++ b/hall/decide.go
@@ -13,9 +13,9 @@
 	"chutereach/timeline"
 )
 
-// maxGranted bounds the grants that wait for their commit, so that a slow table
+// maxUncommittedGrants bounds the grants that wait for their commit, so that a slow table
 // does not make the owner promise what it may never keep.
-const maxGranted = 4000
+const maxUncommittedGrants = 4000
 
 // decideLoop places what waits whenever something has changed.
 func (u *Unit) decideLoop() {
@@ -23,15 +23,15 @@
 		select {
 		case <-u.ctx.Done():
 			return
-		case <-u.decideWake:
+		case <-u.decideSignal:
 			u.decide()
 		}
 	}
 }
 
-// refusedKey names tasks that are alike to every worker: what found no room
+// placementKey names tasks that are alike to every worker: what found no room
 // once in a round finds none in the rest of it.
-type refusedKey struct {
+type placementKey struct {
 	template string
 	revision uint64
 	need     resource.Amount
@@ -41,17 +41,17 @@
 func (u *Unit) decide() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	refused := map[refusedKey]bool{}
+	refused := map[placementKey]bool{}
 	var done []*jobState
 	u.queue.Round(time.Now(), func(j *jobState) queue.Verdict {
-		if u.granted >= maxGranted {
+		if u.uncommittedGrants >= maxUncommittedGrants {
 			return queue.Halt
 		}
 		if len(j.waiting) == 0 {
 			done = append(done, j)
 			return queue.Parked
 		}
-		return u.offer(j, refused)
+		return u.placeNext(j, refused)
 	})
 	for _, j := range done {
 		u.queue.Remove(j)
@@ -59,15 +59,15 @@
 	}
 }
 
-// offer tries to place the next task of a job. The caller holds u.mu.
-func (u *Unit) offer(j *jobState, refused map[refusedKey]bool) queue.Verdict {
+// placeNext tries to place the next task of a job. The caller holds u.mu.
+func (u *Unit) placeNext(j *jobState, refused map[placementKey]bool) queue.Verdict {
 	u.Stats.Decisions++
-	key := refusedKey{j.job.Template.Name, j.job.Revision, j.job.Template.Need}
+	key := placementKey{j.job.Template.Name, j.job.Revision, j.job.Template.Need}
 	if refused[key] || u.overQuota(j) {
 		return queue.Parked
 	}
 	t := j.tasks[j.waiting[0]]
-	info, found := u.choose(j)
+	info, found := u.chooseWorker(j)
 	if !found {
 		refused[key] = true
 		return queue.Parked
@@ -87,12 +87,12 @@
 	return !quota.Allows(u.queue.Used(j.job.Account).Plus(j.job.Template.Need))
 }
 
-// choose returns the worker for the job's next task. The caller holds u.mu.
-func (u *Unit) choose(j *jobState) (provider.Worker, bool) {
+// chooseWorker returns the worker for the job's next task. The caller holds u.mu.
+func (u *Unit) chooseWorker(j *jobState) (provider.Worker, bool) {
 	tm := &j.job.Template
 	ask := placement.Ask{Need: tm.Need, Tolerates: tm.Tolerates, Affinity: tm.Affinity, Avoid: tm.Avoid}
 	if tm.Form == config.FormService && len(j.tasks) > 1 {
-		ask.Crowd = func(w provider.Worker) (int, int) { return j.crowd[w.Name], j.crowd[rackKey(w)] }
+		ask.Crowd = func(w provider.Worker) (int, int) { return j.replicaCounts[w.Name], j.replicaCounts[rackCountKey(w)] }
 	}
 	if j.job.Scoring == config.ScorePacking {
 		return placement.Choose(u.index, placement.Packing{}, ask)
@@ -100,17 +100,17 @@
 	return placement.Choose(u.index, placement.Waiting{}, ask)
 }
 
-// rackKey is a rack among a job's counts, which are kept by worker too.
-func rackKey(w provider.Worker) string { return "rack:" + w.Rack }
+// rackCountKey is a rack among a job's counts, which are kept by worker too.
+func rackCountKey(w provider.Worker) string { return "rack:" + w.Rack }
 
-// crowd counts a service's task on its worker and rack.
-func (u *Unit) crowd(t *taskState, n int) {
+// countReplica counts a service's task on its worker and rack.
+func (u *Unit) countReplica(t *taskState, n int) {
 	if t.job.job.Template.Form != config.FormService {
 		return
 	}
 	w := t.worker.ledger.Worker()
-	t.job.crowd[w.Name] += n
-	t.job.crowd[rackKey(w)] += n
+	t.job.replicaCounts[w.Name] += n
+	t.job.replicaCounts[rackCountKey(w)] += n
 }
 
 // grant gives a task room on a worker, in memory; its commit is under way when
@@ -127,33 +127,33 @@
 	u.reindex(w)
 	now := time.Now()
 	t.phase, t.attempt, t.grant, t.worker, t.endpoint = granting, g.Attempt, g, w, ""
-	t.until, t.startBy = time.Time{}, time.Time{}
+	t.leaseUntil, t.startExpires = time.Time{}, time.Time{}
 	t.task = t.task.WithStart(id.N, w.name(), now)
 	w.tasks[g.Attempt] = t
 	u.queue.Take(t.job.job.Account, tm.Need)
-	u.crowd(t, 1)
-	u.granted++
-	u.mark(w, change{then: func(uint64) { u.committed(t) }})
+	u.countReplica(t, 1)
+	u.uncommittedGrants++
+	u.markDirty(w, change{onCommit: func(uint64) { u.grantCommitted(t) }})
 	return nil
 }
 
-// committed orders the start of a task whose grant is in the table. The caller
+// grantCommitted orders the start of a task whose grant is in the table. The caller
 // holds u.mu.
-func (u *Unit) committed(t *taskState) {
-	u.granted--
+func (u *Unit) grantCommitted(t *taskState) {
+	u.uncommittedGrants--
 	u.Stats.Placed++
-	u.note(timeline.Event{Kind: timeline.TaskPlaced, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Account: t.job.job.Account})
+	u.recordEvent(timeline.Event{Kind: timeline.TaskPlaced, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Account: t.job.job.Account})
 	if t.job.job.Stopped {
 		u.release(t, t.task.WithStopped(time.Now()), true)
 		return
 	}
 	t.phase = starting
-	u.order(t.worker, order{kind: orderStart, attempt: t.attempt})
+	u.enqueueOrder(t.worker, order{kind: orderStart, attempt: t.attempt})
 }
 
-// leave takes a task off its worker in memory. The caller holds u.mu and marks
+// removeGrant takes a task off its worker in memory. The caller holds u.mu and marks
 // the worker.
-func (u *Unit) leave(t *taskState) {
+func (u *Unit) removeGrant(t *taskState) {
 	w := t.worker
 	next, err := w.ledger.WithRelease(t.attempt)
 	if err != nil {
@@ -161,7 +161,7 @@
 		return
 	}
 	w.ledger = next
-	u.crowd(t, -1)
+	u.countReplica(t, -1)
 	u.queue.Give(t.job.job.Account, t.grant.Need)
 	u.reindex(w)
 }
@@ -174,24 +174,24 @@
 func (u *Unit) release(t *taskState, next job.Task, remember bool) {
 	w, attempt := t.worker, t.attempt
 	t.phase, t.endpoint = releasing, ""
-	u.leave(t)
-	c := change{then: func(version uint64) {
+	u.removeGrant(t)
+	c := change{onCommit: func(version uint64) {
 		if remember {
 			t.version = version
 		}
 		delete(w.tasks, attempt)
-		w.forget = append(w.forget, attempt)
-		u.released(t, next)
+		w.toForget = append(w.toForget, attempt)
+		u.releaseCommitted(t, next)
 	}}
 	if remember {
 		c.writes = []rowWrite{{key: next.Key(), version: t.version, value: next.Encode()}}
 	}
-	u.mark(w, c)
-	signal(u.decideWake)
+	u.markDirty(w, c)
+	notify(u.decideSignal)
 }
 
-// released goes on with a task whose room is free. The caller holds u.mu.
-func (u *Unit) released(t *taskState, next job.Task) {
+// releaseCommitted goes on with a task whose room is free. The caller holds u.mu.
+func (u *Unit) releaseCommitted(t *taskState, next job.Task) {
 	t.task, t.phase, t.attempt, t.worker = next, idle, "", nil
 	if next.State.Final() {
 		u.countFinal(t.job)
@@ -200,8 +200,8 @@
 	if next.State != job.Waiting {
 		return
 	}
-	t.ready = time.Now()
-	if wait := retryPause(next.Failures + next.Reboots + t.refusals); wait > 0 {
+	t.waitingSince = time.Now()
+	if wait := retryDelay(next.Failures + next.Reboots + t.failedStarts); wait > 0 {
 		time.AfterFunc(wait, func() { u.requeue(t) })
 		return
 	}
@@ -209,17 +209,17 @@
 }
 
 const (
-	firstRetryPause = 200 * time.Millisecond
-	lastRetryPause  = time.Minute
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = time.Minute
 )
 
-// retryPause returns for how long a task waits that failed, or could not be
+// retryDelay returns for how long a task waits that failed, or could not be
 // started, some times.
-func retryPause(failures int) time.Duration {
+func retryDelay(failures int) time.Duration {
 	if failures == 0 {
 		return 0
 	}
-	return min(firstRetryPause<<min(failures-1, 10), lastRetryPause)
+	return min(minRetryDelay<<min(failures-1, 10), maxRetryDelay)
 }
 
 func (u *Unit) requeue(t *taskState) {
--- a/hall/flush.go
+++ b/hall/flush.go
@@ -12,8 +12,8 @@
 
 // change is what a decision writes, and what goes on once it is committed.
 type change struct {
-	writes []rowWrite
-	then   func(version uint64) // called under the unit's lock
+	writes   []rowWrite
+	onCommit func(version uint64) // called under the unit's lock
 }
 
 // rowWrite is one row besides the ledgers.
@@ -31,22 +31,22 @@
 	changes []change
 }
 
-// mark says that a worker's ledger must be committed, with c. The caller holds
+// markDirty says that a worker's ledger must be committed, with c. The caller holds
 // u.mu.
-func (u *Unit) mark(w *workerState, c change) {
+func (u *Unit) markDirty(w *workerState, c change) {
 	w.changes = append(w.changes, c)
-	if !w.marked {
-		w.marked = true
-		u.dirty = append(u.dirty, w)
+	if !w.dirty {
+		w.dirty = true
+		u.dirtyWorkers = append(u.dirtyWorkers, w)
 	}
-	signal(u.flushWake)
+	notify(u.flushSignal)
 }
 
-// write says that rows must be committed that belong to no worker. The caller
+// writeRows says that rows must be committed that belong to no worker. The caller
 // holds u.mu.
-func (u *Unit) write(c change) {
-	u.loose = append(u.loose, c)
-	signal(u.flushWake)
+func (u *Unit) writeRows(c change) {
+	u.rowChanges = append(u.rowChanges, c)
+	notify(u.flushSignal)
 }
 
 // flushLoop commits what is marked, one transaction after the other. The rate
@@ -56,12 +56,12 @@
 		select {
 		case <-u.ctx.Done():
 			return
-		case <-u.flushWake:
+		case <-u.flushSignal:
 		}
 		if u.deps.Sender.Wait(u.ctx) != nil {
 			return
 		}
-		b := u.gather()
+		b := u.nextBatch()
 		if len(b.txn.Writes) == 0 {
 			continue
 		}
@@ -70,71 +70,71 @@
 			u.flushFailed(err)
 			return
 		}
-		u.apply(b, version)
+		u.batchCommitted(b, version)
 	}
 }
 
 func (u *Unit) flushFailed(err error) {
 	var conflict *provider.ConflictError
 	if errors.As(err, &conflict) {
-		u.lose(conflict)
+		u.abort(conflict)
 	}
 }
 
-// gather takes marked ledgers, each with all of its changes, and loose changes,
+// nextBatch takes marked ledgers, each with all of its changes, and loose changes,
 // up to the size of a transaction. A ledger that is on its way stays marked.
-func (u *Unit) gather() batch {
+func (u *Unit) nextBatch() batch {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	b := batch{txn: provider.Txn{ID: xid.New().String()}}
 	b.txn = b.txn.Require(control.UnitKey(u.hold.Unit), u.hold.Version)
-	rest := u.dirty[:0]
-	for i, w := range u.dirty {
+	rest := u.dirtyWorkers[:0]
+	for i, w := range u.dirtyWorkers {
 		switch {
-		case len(b.txn.Writes) >= u.set.BatchRows:
-			rest = append(rest, u.dirty[i])
-		case w.flying:
+		case len(b.txn.Writes) >= u.settings.BatchRows:
+			rest = append(rest, u.dirtyWorkers[i])
+		case w.commitInFlight:
 			rest = append(rest, w)
 		default:
-			u.gatherWorker(&b, w)
+			u.addLedger(&b, w)
 		}
 	}
-	u.dirty = rest
+	u.dirtyWorkers = rest
 	taken := 0
-	for taken < len(u.loose) && len(b.txn.Writes) < u.set.BatchRows {
-		b.add(u.loose[taken])
+	for taken < len(u.rowChanges) && len(b.txn.Writes) < u.settings.BatchRows {
+		b.add(u.rowChanges[taken])
 		taken++
 	}
-	u.loose = append([]change(nil), u.loose[taken:]...)
-	if len(u.loose) > 0 || len(u.dirty) > 0 {
-		u.wakeIfIdle()
+	u.rowChanges = append([]change(nil), u.rowChanges[taken:]...)
+	if len(u.rowChanges) > 0 || len(u.dirtyWorkers) > 0 {
+		u.signalFlush()
 	}
 	return b
 }
 
-// wakeIfIdle wakes another lane if anything is left that need not wait for a
+// signalFlush wakes another lane if anything is left that need not wait for a
 // transaction on its way. The caller holds u.mu.
-func (u *Unit) wakeIfIdle() {
-	if len(u.loose) > 0 {
-		signal(u.flushWake)
+func (u *Unit) signalFlush() {
+	if len(u.rowChanges) > 0 {
+		notify(u.flushSignal)
 		return
 	}
-	for _, w := range u.dirty {
-		if !w.flying {
-			signal(u.flushWake)
+	for _, w := range u.dirtyWorkers {
+		if !w.commitInFlight {
+			notify(u.flushSignal)
 			return
 		}
 	}
 }
 
-func (u *Unit) gatherWorker(b *batch, w *workerState) {
+func (u *Unit) addLedger(b *batch, w *workerState) {
 	key := ledger.Key(u.hold.Unit, w.name())
 	b.txn = b.txn.Put(key, w.version, w.ledger.Encode())
 	b.workers = append(b.workers, w)
 	for _, c := range w.changes {
 		b.add(c)
 	}
-	w.changes, w.marked, w.flying = nil, false, true
+	w.changes, w.dirty, w.commitInFlight = nil, false, true
 }
 
 func (b *batch) add(c change) {
@@ -148,22 +148,22 @@
 	b.changes = append(b.changes, c)
 }
 
-// apply goes on after a transaction was committed.
-func (u *Unit) apply(b batch, version uint64) {
+// batchCommitted goes on after a transaction was committed.
+func (u *Unit) batchCommitted(b batch, version uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.Stats.Commits++
 	u.Stats.Rows += int64(len(b.txn.Writes))
 	for _, w := range b.workers {
-		w.version, w.flying = version, false
+		w.version, w.commitInFlight = version, false
 	}
 	for _, c := range b.changes {
-		if c.then != nil {
-			c.then(version)
+		if c.onCommit != nil {
+			c.onCommit(version)
 		}
 	}
-	if u.granted < maxGranted && u.queue.Len() > 0 {
-		signal(u.decideWake)
+	if u.uncommittedGrants < maxUncommittedGrants && u.queue.Len() > 0 {
+		notify(u.decideSignal)
 	}
-	u.wakeIfIdle()
+	u.signalFlush()
 }
--- a/hall/load.go
+++ b/hall/load.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	firstPause = 50 * time.Millisecond
-	lastPause  = 2 * time.Second
+	minLoadBackoff = 50 * time.Millisecond
+	maxLoadBackoff = 2 * time.Second
 )
 
-// rows is what the table holds of a unit.
-type rows struct {
+// storedRows is what the table holds of a unit.
+type storedRows struct {
 	jobs, tasks, ledgers []provider.Row
 	fleet                []provider.Worker
 }
@@ -28,20 +28,20 @@
 // load rebuilds the unit from the table. It tries until it succeeds or the unit
 // ends: without the table there is nothing that could be decided.
 func (u *Unit) load() error {
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		r, err := u.read()
+	for pause := minLoadBackoff; ; pause = min(2*pause, maxLoadBackoff) {
+		r, err := u.readRows()
 		if err == nil {
 			return eris.Wrap(u.rebuild(r), "rebuild from the table")
 		}
 		u.log.Warn().Err(err).Msg("Unit cannot be loaded yet.")
-		if !u.pause(pause) {
+		if !u.sleep(pause) {
 			return u.ctx.Err()
 		}
 	}
 }
 
-func (u *Unit) read() (rows, error) {
-	var r rows
+func (u *Unit) readRows() (storedRows, error) {
+	var r storedRows
 	g, ctx := errgroup.WithContext(u.ctx)
 	get := func(into *[]provider.Row, prefix string) func() error {
 		return func() (err error) {
@@ -53,15 +53,15 @@
 	g.Go(get(&r.tasks, job.TaskPrefix(u.hold.Unit)))
 	g.Go(get(&r.ledgers, ledger.Prefix(u.hold.Unit)))
 	g.Go(func() (err error) {
-		r.fleet, err = u.fleet(ctx)
+		r.fleet, err = u.listWorkers(ctx)
 		return err
 	})
 	return r, g.Wait()
 }
 
-// fleet returns the unit's workers. The list may be down for long; then the
+// listWorkers returns the unit's workers. The list may be down for long; then the
 // ledgers alone tell of the workers.
-func (u *Unit) fleet(ctx context.Context) ([]provider.Worker, error) {
+func (u *Unit) listWorkers(ctx context.Context) ([]provider.Worker, error) {
 	all, err := u.deps.Workers.Fleet(ctx)
 	if err != nil {
 		u.log.Warn().Err(err).Msg("List of workers cannot be read.")
@@ -69,14 +69,14 @@
 	}
 	var own []provider.Worker
 	for _, w := range all {
-		if u.mine(w) {
+		if u.owns(w) {
 			own = append(own, w)
 		}
 	}
 	return own, nil
 }
 
-func (u *Unit) rebuild(r rows) error {
+func (u *Unit) rebuild(r storedRows) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if err := u.rebuildJobs(r.jobs, r.tasks); err != nil {
@@ -87,15 +87,15 @@
 		if err != nil {
 			return &control.RowError{Key: row.Key, Cause: err}
 		}
-		u.inherit(u.addWorker(l, row.Version))
+		u.restoreGrants(u.addWorker(l, row.Version))
 	}
-	u.mergeFleet(r.fleet)
+	u.updateWorkers(r.fleet)
 	for _, j := range u.jobs {
 		u.enqueueIdle(j)
 	}
 	u.ready = true
-	signal(u.decideWake)
-	signal(u.inboxWake)
+	notify(u.decideSignal)
+	notify(u.inboxSignal)
 	return nil
 }
 
@@ -127,10 +127,10 @@
 
 // addJob takes a job in without queueing it. The caller holds u.mu.
 func (u *Unit) addJob(j job.Job, version uint64) *jobState {
-	s := &jobState{job: j, version: version, tasks: make([]*taskState, j.Tasks), crowd: map[string]int{}}
+	s := &jobState{job: j, version: version, tasks: make([]*taskState, j.Tasks), replicaCounts: map[string]int{}}
 	all := make([]taskState, j.Tasks)
 	for i := range s.tasks {
-		all[i] = taskState{job: s, task: job.NewTask(j, i), ready: j.Created}
+		all[i] = taskState{job: s, task: job.NewTask(j, i), waitingSince: j.Created}
 		s.tasks[i] = &all[i]
 	}
 	u.jobs[j.ID] = s
@@ -141,21 +141,21 @@
 func (u *Unit) addWorker(l ledger.Ledger, version uint64) *workerState {
 	w := &workerState{
 		id: l.Worker().Name, ledger: l, version: version, tasks: map[string]*taskState{},
-		silent: time.Now(), wake: make(chan struct{}, 1),
+		silentSince: time.Now(), orderSignal: make(chan struct{}, 1),
 	}
 	u.workers[w.name()] = w
 	u.reindex(w)
-	u.whole = u.whole.Plus(l.Worker().Capacity)
-	u.queue.SetWhole(u.whole)
+	u.capacity = u.capacity.Plus(l.Worker().Capacity)
+	u.queue.SetWhole(u.capacity)
 	u.group.Go(func() { u.watchLoop(w) })
 	u.group.Go(func() { u.orderLoop(w) })
 	return w
 }
 
-// inherit takes over what an earlier owner granted on a worker. How far it got
+// restoreGrants takes over what an earlier owner granted on a worker. How far it got
 // is for the worker to say; until then it counts as started, under the longest
 // lease that the earlier owner can have given. The caller holds u.mu.
-func (u *Unit) inherit(w *workerState) {
+func (u *Unit) restoreGrants(w *workerState) {
 	for _, g := range w.ledger.Grants() {
 		a, err := job.ParseAttempt(g.Attempt)
 		j := u.jobs[a.Job]
@@ -165,17 +165,17 @@
 		}
 		t := j.tasks[a.Task]
 		t.phase, t.attempt, t.grant, t.worker = starting, g.Attempt, g, w
-		t.startBy, t.until = u.hold.Before, u.hold.Before.Add(g.Lease)
+		t.startExpires, t.leaseUntil = u.hold.Before, u.hold.Before.Add(g.Lease)
 		t.task = t.task.WithStart(a.N, w.name(), time.Now())
 		w.tasks[g.Attempt] = t
 		u.queue.Take(j.job.Account, g.Need)
-		u.crowd(t, 1)
+		u.countReplica(t, 1)
 	}
 }
 
-// mergeFleet takes in what the platform says of the workers. The caller holds
+// updateWorkers takes in what the platform says of the workers. The caller holds
 // u.mu.
-func (u *Unit) mergeFleet(fleet []provider.Worker) {
+func (u *Unit) updateWorkers(fleet []provider.Worker) {
 	if len(fleet) == 0 {
 		return // an empty list is more likely a fault than the truth
 	}
@@ -187,21 +187,21 @@
 			u.addWorker(ledger.New(info), 0)
 			continue
 		}
-		u.whole = u.whole.Minus(w.ledger.Worker().Capacity).Plus(info.Capacity)
-		w.ledger, w.gone = w.ledger.WithWorker(info), false
+		u.capacity = u.capacity.Minus(w.ledger.Worker().Capacity).Plus(info.Capacity)
+		w.ledger, w.unlisted = w.ledger.WithWorker(info), false
 		u.reindex(w)
 	}
 	for name, w := range u.workers {
-		w.gone = !listed[name]
+		w.unlisted = !listed[name]
 		u.reindex(w)
 	}
-	u.queue.SetWhole(u.whole)
-	signal(u.decideWake)
+	u.queue.SetWhole(u.capacity)
+	notify(u.decideSignal)
 }
 
 // reindex puts what a worker has free into the index. The caller holds u.mu.
 func (u *Unit) reindex(w *workerState) {
-	closed := !w.silent.IsZero() || w.gone || u.drained(w)
+	closed := !w.silentSince.IsZero() || w.unlisted || u.drained(w)
 	u.index.Set(w.ledger.Worker(), w.ledger.Free(), closed)
 }
 
@@ -219,14 +219,14 @@
 			u.enqueue(j, i)
 		}
 	}
-	u.note(timeline.Event{Kind: timeline.JobQueued, Job: string(j.job.ID), Account: j.job.Account})
+	u.recordEvent(timeline.Event{Kind: timeline.JobQueued, Job: string(j.job.ID), Account: j.job.Account})
 }
 
 // enqueue puts a task behind its job's others. A job that is stopped or whose
 // moment has not come is not queued. The caller holds u.mu.
 func (u *Unit) enqueue(j *jobState, task int) {
 	if j.job.Stopped {
-		u.finalize(j.tasks[task], j.tasks[task].task.WithStopped(time.Now()))
+		u.setFinal(j.tasks[task], j.tasks[task].task.WithStopped(time.Now()))
 		return
 	}
 	j.waiting = append(j.waiting, task)
@@ -239,7 +239,7 @@
 		return
 	}
 	u.queue.Add(j)
-	signal(u.decideWake)
+	notify(u.decideSignal)
 }
 
 func (u *Unit) addToQueue(j *jobState) {
@@ -247,19 +247,19 @@
 	defer u.mu.Unlock()
 	if u.ctx.Err() == nil {
 		u.queue.Add(j)
-		signal(u.decideWake)
+		notify(u.decideSignal)
 	}
 }
 
-// finalize gives a task a final state in memory only. The caller holds u.mu.
-func (u *Unit) finalize(t *taskState, final job.Task) {
+// setFinal gives a task a final state in memory only. The caller holds u.mu.
+func (u *Unit) setFinal(t *taskState, final job.Task) {
 	t.task = final
 	u.countFinal(t.job)
 }
 
 func (u *Unit) countFinal(j *jobState) {
-	j.final++
-	if j.final == len(j.tasks) {
-		j.ended = time.Now()
+	j.finalTasks++
+	if j.finalTasks == len(j.tasks) {
+		j.endedAt = time.Now()
 	}
 }
--- a/hall/operate.go
+++ b/hall/operate.go
@@ -26,26 +26,26 @@
 		return nil
 	}
 	j.job = j.job.WithStopped()
-	u.write(change{
+	u.writeRows(change{
 		writes: []rowWrite{{key: j.job.Key(), version: j.version, value: j.job.Encode()}},
-		then: func(version uint64) {
+		onCommit: func(version uint64) {
 			j.version = version
-			u.stopTasks(j)
-			u.note(timeline.Event{Kind: timeline.JobStopped, Job: string(id), Account: j.job.Account})
+			u.stopJobTasks(j)
+			u.recordEvent(timeline.Event{Kind: timeline.JobStopped, Job: string(id), Account: j.job.Account})
 		},
 	})
 	return nil
 }
 
-func (u *Unit) stopTasks(j *jobState) {
+func (u *Unit) stopJobTasks(j *jobState) {
 	for _, i := range j.waiting {
-		u.finalize(j.tasks[i], j.tasks[i].task.WithStopped(time.Now()))
+		u.setFinal(j.tasks[i], j.tasks[i].task.WithStopped(time.Now()))
 	}
 	j.waiting = nil
 	for _, t := range j.tasks {
 		if t.phase == running {
 			t.phase = stopping
-			u.order(t.worker, order{kind: orderStop, attempt: t.attempt})
+			u.enqueueOrder(t.worker, order{kind: orderStop, attempt: t.attempt})
 		}
 	}
 }
@@ -63,12 +63,12 @@
 	if err != nil {
 		return err
 	}
-	u.write(change{
+	u.writeRows(change{
 		writes: []rowWrite{{key: next.Key(), version: t.version, value: next.Encode()}},
-		then: func(version uint64) {
+		onCommit: func(version uint64) {
 			t.version = version
-			u.note(timeline.Event{Kind: timeline.TaskSettled, Job: string(id), Detail: string(s)})
-			u.released(t, next)
+			u.recordEvent(timeline.Event{Kind: timeline.TaskSettled, Job: string(id), Detail: string(s)})
+			u.releaseCommitted(t, next)
 		},
 	})
 	return nil
--- a/hall/orders.go
+++ b/hall/orders.go
@@ -24,10 +24,10 @@
 	attempt string
 }
 
-// order adds to a worker's orders. The caller holds u.mu.
-func (u *Unit) order(w *workerState, o order) {
+// enqueueOrder adds to a worker's orders. The caller holds u.mu.
+func (u *Unit) enqueueOrder(w *workerState, o order) {
 	w.orders = append(w.orders, o)
-	signal(w.wake)
+	notify(w.orderSignal)
 }
 
 // orderLoop carries out a worker's orders, one after the other.
@@ -36,14 +36,14 @@
 		select {
 		case <-u.ctx.Done():
 			return
-		case <-w.wake:
+		case <-w.orderSignal:
 		}
 		for {
 			o, more := u.nextOrder(w)
 			if !more || u.ctx.Err() != nil {
 				break
 			}
-			u.carryOut(w, o)
+			u.execute(w, o)
 		}
 	}
 }
@@ -59,25 +59,25 @@
 	return o, true
 }
 
-func (u *Unit) carryOut(w *workerState, o order) {
+func (u *Unit) execute(w *workerState, o order) {
 	switch o.kind {
 	case orderStart:
-		u.start(w, o.attempt)
+		u.startAttempt(w, o.attempt)
 	case orderStop:
-		u.halt(w, o.attempt, u.deps.Workers.Stop)
+		u.stopAttempt(w, o.attempt, u.deps.Workers.Stop)
 	case orderCheckpoint:
-		u.halt(w, o.attempt, u.deps.Workers.Checkpoint)
+		u.stopAttempt(w, o.attempt, u.deps.Workers.Checkpoint)
 	}
 }
 
-// start makes the start call of an attempt. Whatever the worker's answer leaves
+// startAttempt makes the startAttempt call of an attempt. Whatever the worker's answer leaves
 // open, its next report settles.
-func (u *Unit) start(w *workerState, attempt string) {
-	call, ok := u.startCall(w, attempt)
+func (u *Unit) startAttempt(w *workerState, attempt string) {
+	call, ok := u.newStartCall(w, attempt)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(u.ctx, u.set.Call)
+	ctx, cancel := context.WithTimeout(u.ctx, u.settings.CallTimeout)
 	defer cancel()
 	state, err := u.deps.Workers.Start(ctx, w.name(), call)
 	u.mu.Lock()
@@ -89,24 +89,24 @@
 	var refused *provider.RefusedError
 	switch {
 	case err == nil:
-		u.heardOf(w, t, state)
+		u.handleAttemptState(w, t, state)
 	case errors.As(err, &refused):
 		if refused.Reason == provider.RefusedBoot {
-			u.silence(w) // place nothing there until its next report
+			u.markSilent(w) // place nothing there until its next report
 		}
-		u.notRun(t, string(refused.Reason))
+		u.putBackNotRun(t, string(refused.Reason))
 	case provider.NotApplied(err):
-		u.notRun(t, err.Error())
+		u.putBackNotRun(t, err.Error())
 	default:
-		known := t.startBy.Add(u.set.ClockError + time.Millisecond)
-		time.AfterFunc(time.Until(known), func() { u.nudge(w) })
+		known := t.startExpires.Add(u.settings.ClockError + time.Millisecond)
+		time.AfterFunc(time.Until(known), func() { u.pollNow(w) })
 	}
 }
 
-// startCall makes the call, or says that this is not the time for one: an owner
+// newStartCall makes the call, or says that this is not the time for one: an owner
 // that is not sure of its ownership starts nothing. The attempt is then put
 // back as not run, since no call for it was ever made.
-func (u *Unit) startCall(w *workerState, attempt string) (provider.StartCall, bool) {
+func (u *Unit) newStartCall(w *workerState, attempt string) (provider.StartCall, bool) {
 	sure := u.deps.Sure()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -116,15 +116,15 @@
 	}
 	now := time.Now()
 	if !now.Before(sure) {
-		u.notRun(t, "ownership is not sure")
+		u.putBackNotRun(t, "ownership is not sure")
 		return provider.StartCall{}, false
 	}
-	t.startBy = earlier(now.Add(u.set.Call), sure)
-	t.until = now.Add(t.grant.Lease)
+	t.startExpires = earlier(now.Add(u.settings.CallTimeout), sure)
+	t.leaseUntil = now.Add(t.grant.Lease)
 	return provider.StartCall{
 		// The boot of the grant, not the worker's newest: a worker that has booted
 		// since counts the attempt as over, and must not begin it.
-		Attempt: attempt, Boot: t.grant.Boot, Expires: t.startBy, Until: t.until,
+		Attempt: attempt, Boot: t.grant.Boot, Expires: t.startExpires, Until: t.leaseUntil,
 		Need: t.grant.Need, Command: t.job.job.Template.Command,
 		Params: t.job.job.Params, Checkpoint: t.task.Checkpoint,
 	}, true
@@ -137,63 +137,63 @@
 	return b
 }
 
-// surely returns the expiry for a call that only a unit's owner may make, and
+// ownerCallExpiry returns the expiry for a call that only a unit's owner may make, and
 // whether this box is one for certain. An owner that was deposed while it was
 // paused, and does not know yet, must not stop what its successor has started,
 // nor have a worker forget what its successor has yet to hear.
-func (u *Unit) surely(now time.Time) (expires time.Time, sure bool) {
-	end := u.deps.Sure().Add(-u.set.ClockError)
-	return earlier(now.Add(u.set.Call), end), now.Before(end)
+func (u *Unit) ownerCallExpiry(now time.Time) (expires time.Time, sure bool) {
+	end := u.deps.Sure().Add(-u.settings.ClockError)
+	return earlier(now.Add(u.settings.CallTimeout), end), now.Before(end)
 }
 
-// haltRetry is the pause before a stop that had no answer is ordered again.
-const haltRetry = time.Second
+// stopRetryInterval is the pause before a stop that had no answer is ordered again.
+const stopRetryInterval = time.Second
 
-// halt stops an attempt by call and takes in the answer, which confirms that it
+// stopAttempt stops an attempt by call and takes in the answer, which confirms that it
 // runs no more. A stop without an answer is ordered again, until a report or
 // the lapse of the lease settles the matter.
-func (u *Unit) halt(w *workerState, attempt string, call haltCall) {
+func (u *Unit) stopAttempt(w *workerState, attempt string, call stopCall) {
 	u.mu.Lock()
 	boot := w.boot
 	_, there := w.tasks[attempt]
 	u.mu.Unlock()
-	expires, sure := u.surely(time.Now())
+	expires, sure := u.ownerCallExpiry(time.Now())
 	if !sure {
 		if there {
-			time.AfterFunc(haltRetry, func() { u.haltAgain(w, attempt) })
+			time.AfterFunc(stopRetryInterval, func() { u.retryStop(w, attempt) })
 		}
 		return
 	}
 	c := provider.AttemptCall{Attempt: attempt, Boot: boot, Expires: expires}
-	ctx, cancel := context.WithTimeout(u.ctx, u.set.Call)
+	ctx, cancel := context.WithTimeout(u.ctx, u.settings.CallTimeout)
 	defer cancel()
 	state, err := call(ctx, w.name(), c)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	t := w.tasks[attempt]
 	if err == nil && t != nil {
-		u.heardOf(w, t, state)
+		u.handleAttemptState(w, t, state)
 		return
 	}
 	if err != nil && there && t != nil && t.phase == stopping {
-		time.AfterFunc(haltRetry, func() { u.haltAgain(w, attempt) })
+		time.AfterFunc(stopRetryInterval, func() { u.retryStop(w, attempt) })
 	}
 }
 
-func (u *Unit) haltAgain(w *workerState, attempt string) {
+func (u *Unit) retryStop(w *workerState, attempt string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if t := w.tasks[attempt]; t != nil && t.phase == stopping && u.ctx.Err() == nil {
-		u.order(w, order{kind: orderStop, attempt: attempt})
+		u.enqueueOrder(w, order{kind: orderStop, attempt: attempt})
 	}
 }
 
-// notRun puts back a task whose attempt surely never ran. The caller holds
+// putBackNotRun puts back a task whose attempt surely never ran. The caller holds
 // u.mu.
-func (u *Unit) notRun(t *taskState, why string) {
+func (u *Unit) putBackNotRun(t *taskState, why string) {
 	u.Stats.NotRun++
-	t.refusals++
-	u.note(timeline.Event{Kind: timeline.TaskNotRun, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Detail: why})
+	t.failedStarts++
+	u.recordEvent(timeline.Event{Kind: timeline.TaskNotRun, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Detail: why})
 	next := t.task.WithoutStart(time.Now())
 	if t.job.job.Stopped {
 		next = t.task.WithStopped(time.Now())
--- a/hall/planned.go
+++ b/hall/planned.go
@@ -18,43 +18,43 @@
 		u.reindex(w)
 	}
 	for _, j := range u.jobs {
-		u.follow(j)
+		u.updateTemplate(j)
 	}
-	signal(u.decideWake)
+	notify(u.decideSignal)
 }
 
-// follow brings a service's job under the template in force. Batch work keeps
+// updateTemplate brings a service's job under the template in force. Batch work keeps
 // the template under which it was created. The caller holds u.mu.
-func (u *Unit) follow(j *jobState) {
+func (u *Unit) updateTemplate(j *jobState) {
 	rev := u.deps.Config()
 	t, known := rev.Set.Templates[j.job.Template.Name]
-	if j.job.Template.Form != config.FormService || !known || j.version == 0 || j.job.Stopped || same(t, j.job.Template) {
+	if j.job.Template.Form != config.FormService || !known || j.version == 0 || j.job.Stopped || sameReplicaSpec(t, j.job.Template) {
 		return
 	}
 	next, err := j.job.WithTemplate(t, rev.Set.Policies[t.Policy].Scoring, rev.Set.Accounts[j.job.Account], rev.Number)
-	if err != nil || j.changing {
+	if err != nil || j.templateUpdating {
 		return // the account lacks a parameter of the new form: the old one goes on
 	}
-	j.changing = true
-	u.write(change{
+	j.templateUpdating = true
+	u.writeRows(change{
 		writes: []rowWrite{{key: next.Key(), version: j.version, value: next.Encode()}},
-		then: func(version uint64) {
-			j.job, j.version, j.changing = next, version, false
-			u.note(timeline.Event{Kind: timeline.JobChanged, Job: string(next.ID), Account: next.Account})
-			u.follow(j) // it may have changed once more
+		onCommit: func(version uint64) {
+			j.job, j.version, j.templateUpdating = next, version, false
+			u.recordEvent(timeline.Event{Kind: timeline.JobChanged, Job: string(next.ID), Account: next.Account})
+			u.updateTemplate(j) // it may have changed once more
 		},
 	})
 }
 
-// same reports whether two forms of a template are alike in what a replica is.
+// sameReplicaSpec reports whether two forms of a template are alike in what a replica is.
 // How many tasks a job has was settled when it was created.
-func same(a, b config.Template) bool {
+func sameReplicaSpec(a, b config.Template) bool {
 	a.Tasks, b.Tasks = 0, 0
-	return reflect.DeepEqual(normal(a), normal(b))
+	return reflect.DeepEqual(normalizeEmpty(a), normalizeEmpty(b))
 }
 
-// normal makes absent and empty lists alike: the table does not tell them apart.
-func normal(t config.Template) config.Template {
+// normalizeEmpty makes absent and empty lists alike: the table does not tell them apart.
+func normalizeEmpty(t config.Template) config.Template {
 	for _, l := range []*[]string{&t.Halls, &t.Params, &t.Inputs, &t.Tolerates} {
 		if len(*l) == 0 {
 			*l = nil
@@ -71,7 +71,7 @@
 // boxesLoop follows the platform's list of boxes. The list lags; it only ever
 // closes a worker, and never proves that one has stopped.
 func (u *Unit) boxesLoop() {
-	for u.pause(u.set.Boxes) {
+	for u.sleep(u.settings.BoxInterval) {
 		list, err := u.deps.Boxes.List(u.ctx)
 		if err != nil {
 			continue // the list as it was
@@ -93,13 +93,13 @@
 		}
 		w.leaving = leaving[name]
 		u.reindex(w)
-		signal(u.decideWake)
+		notify(u.decideSignal)
 	}
 }
 
-// planned makes the stops that are nobody's emergency: replicas of an older form
+// applyPlannedStops makes the stops that are nobody's emergency: replicas of an older form
 // of their template, and what runs on drained workers.
-func (u *Unit) planned() {
+func (u *Unit) applyPlannedStops() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, j := range u.jobs {
@@ -112,7 +112,7 @@
 			continue
 		}
 		for _, t := range w.tasks {
-			u.checkpointAway(t)
+			u.checkpointDrained(t)
 		}
 	}
 }
@@ -131,24 +131,24 @@
 		if spare <= 0 {
 			return
 		}
-		if t.phase == running && u.mustMove(t) {
+		if t.phase == running && u.needsReplacement(t) {
 			t.phase = stopping
-			u.order(t.worker, order{kind: orderStop, attempt: t.attempt})
+			u.enqueueOrder(t.worker, order{kind: orderStop, attempt: t.attempt})
 			spare--
 		}
 	}
 }
 
-func (u *Unit) mustMove(t *taskState) bool {
+func (u *Unit) needsReplacement(t *taskState) bool {
 	return t.grant.Revision < t.job.job.Revision || u.drained(t.worker)
 }
 
-// checkpointAway takes a task that can be resumed off its drained worker. What
+// checkpointDrained takes a task that can be resumed off its drained worker. What
 // can be neither resumed nor replaced runs to its end there.
-func (u *Unit) checkpointAway(t *taskState) {
+func (u *Unit) checkpointDrained(t *taskState) {
 	if t.phase != running || t.job.job.Template.Repeat != config.RepeatCheckpoint || t.task.State != job.Waiting {
 		return
 	}
 	t.phase = stopping
-	u.order(t.worker, order{kind: orderCheckpoint, attempt: t.attempt})
+	u.enqueueOrder(t.worker, order{kind: orderCheckpoint, attempt: t.attempt})
 }
--- a/hall/report.go
+++ b/hall/report.go
@@ -29,22 +29,22 @@
 	Waits   []WaitSummary   `json:"waits" cbor:"15,keyasint"`
 }
 
-// summaryAge is how old a summary may be: working one out looks at every task.
-const summaryAge = 250 * time.Millisecond
+// maxSummaryAge is how old a summary may be: working one out looks at every task.
+const maxSummaryAge = 250 * time.Millisecond
 
 // Summary returns what there is to say of the unit, at most summaryAge old.
 func (u *Unit) Summary() Summary {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if time.Since(u.summed) > summaryAge {
-		u.summary, u.summed = u.sum(), time.Now()
+	if time.Since(u.summaryTime) > maxSummaryAge {
+		u.summary, u.summaryTime = u.computeSummary(), time.Now()
 	}
 	return u.summary
 }
 
-func (u *Unit) sum() Summary {
+func (u *Unit) computeSummary() Summary {
 	s := Summary{
-		Unit: u.hold.Unit, Epoch: u.hold.Epoch, Ready: u.ready, Workers: len(u.workers), Capacity: u.whole,
+		Unit: u.hold.Unit, Epoch: u.hold.Epoch, Ready: u.ready, Workers: len(u.workers), Capacity: u.capacity,
 		Jobs: len(u.jobs), Placed: u.Stats.Placed, Commits: u.Stats.Commits, Rows: u.Stats.Rows,
 		Waits: u.Stats.Waits.summary(),
 	}
@@ -80,8 +80,8 @@
 // Final reports whether no task of the job will run any more.
 func (s JobStatus) Final() bool { return !s.Ended.IsZero() }
 
-func statusOf(j *jobState, tasks bool) JobStatus {
-	s := JobStatus{Job: j.job, Counts: map[job.State]int{}, Ended: j.ended}
+func newJobStatus(j *jobState, tasks bool) JobStatus {
+	s := JobStatus{Job: j.job, Counts: map[job.State]int{}, Ended: j.endedAt}
 	for _, t := range j.tasks {
 		shown := t.task
 		if t.phase == running || t.phase == stopping {
@@ -103,7 +103,7 @@
 	if j == nil {
 		return JobStatus{}, false
 	}
-	return statusOf(j, true), true
+	return newJobStatus(j, true), true
 }
 
 // Jobs returns the statuses of an account's jobs, or of all for "", the oldest
@@ -114,7 +114,7 @@
 	var all []JobStatus
 	for _, j := range u.jobs {
 		if account == "" || account == j.job.Account {
-			all = append(all, statusOf(j, false))
+			all = append(all, newJobStatus(j, false))
 		}
 	}
 	slices.SortFunc(all, func(a, b JobStatus) int { return cmp.Compare(a.Job.ID, b.Job.ID) })
@@ -154,18 +154,18 @@
 		info := w.ledger.Worker()
 		all = append(all, WorkerStatus{
 			Name: info.Name, Hall: info.Hall, Rack: info.Rack, Unit: u.hold.Unit, Capacity: info.Capacity,
-			Granted: w.ledger.Used(), Usage: w.usage, Tasks: len(w.tasks), State: u.stateOf(w),
+			Granted: w.ledger.Used(), Usage: w.usage, Tasks: len(w.tasks), State: u.workerStateOf(w),
 		})
 	}
 	slices.SortFunc(all, func(a, b WorkerStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-func (u *Unit) stateOf(w *workerState) WorkerState {
+func (u *Unit) workerStateOf(w *workerState) WorkerState {
 	switch {
-	case w.gone:
+	case w.unlisted:
 		return WorkerGone
-	case !w.silent.IsZero():
+	case !w.silentSince.IsZero():
 		return WorkerSilent
 	case u.drained(w):
 		return WorkerDrained
--- a/hall/step_test.go
+++ b/hall/step_test.go
@@ -275,7 +275,7 @@
 		u.mu.Lock()
 		w := u.workers["w00"]
 		u.mu.Unlock()
-		u.nudge(w)
+		u.pollNow(w)
 		time.Sleep(time.Minute)
 		if n := asked.Load(); n > 100 {
 			t.Errorf("the worker was asked %d times in a minute", n)
--- a/hall/unit_test.go
+++ b/hall/unit_test.go
@@ -144,7 +144,7 @@
 
 // kill ends an owner as a killed process ends: what it has sent goes on, and
 // nothing more is sent.
-func (b *bench) kill(u *Unit) { u.cancel(errDisowned) }
+func (b *bench) kill(u *Unit) { u.cancel(errStopped) }
 
 // submit puts a job into the inbox, as any box does.
 func (b *bench) submit(template string, tasks int) job.ID {
--- a/hall/waits.go
+++ b/hall/waits.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	longestWait = int64(24 * time.Hour / time.Microsecond)
-	waitDigits  = 3
+	maxWait               = int64(24 * time.Hour / time.Microsecond)
+	waitSignificantDigits = 3
 )
 
 // Waits keeps how long tasks waited from the moment they were due until they
@@ -23,10 +23,10 @@
 	}
 	h := (*w)[c]
 	if h == nil {
-		h = hdrhistogram.New(1, longestWait, waitDigits)
+		h = hdrhistogram.New(1, maxWait, waitSignificantDigits)
 		(*w)[c] = h
 	}
-	h.RecordValue(min(max(d.Microseconds(), 1), longestWait))
+	h.RecordValue(min(max(d.Microseconds(), 1), maxWait))
 }
 
 // WaitSummary is the waits of one class.
