--- a/hall/decide.go
+++ b/hall/decide.go
@@ -13,11 +13,11 @@
 	"chutereach/timeline"
 )
 
-// maxUncommittedGrants bounds the grants that wait for their commit, so that a slow table
-// does not make the owner promise what it may never keep.
+// maxUncommittedGrants limits the grants whose commit is pending. Placement pauses
+// at the limit, so that a slow table does not build up an unbounded backlog.
 const maxUncommittedGrants = 4000
 
-// decideLoop places what waits whenever something has changed.
+// decideLoop runs a placement round on each signal on decideSignal.
 func (u *Unit) decideLoop() {
 	for {
 		select {
@@ -29,15 +29,15 @@
 	}
 }
 
-// placementKey names tasks that are alike to every worker: what found no room
-// once in a round finds none in the rest of it.
+// placementKey identifies tasks with the same placement requirements. If one of
+// them does not fit on any worker, the others are skipped for the rest of the round.
 type placementKey struct {
 	template string
 	revision uint64
 	need     resource.Amount
 }
 
-// decide offers every queued job once.
+// decide runs one placement round over the queued jobs.
 func (u *Unit) decide() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// placeNext tries to place the next task of a job. The caller holds u.mu.
+// placeNext tries to place the next waiting task of a job. The caller holds u.mu.
 func (u *Unit) placeNext(j *jobState, refused map[placementKey]bool) queue.Verdict {
 	u.Stats.Decisions++
 	key := placementKey{j.job.Template.Name, j.job.Revision, j.job.Template.Need}
@@ -73,21 +73,23 @@
 		return queue.Parked
 	}
 	if err := u.grant(t, u.workers[info.Name]); err != nil {
-		u.log.Error().Err(err).Msg("Index and ledger disagree.")
+		u.log.Error().Err(err).Msg("placement index and ledger disagree: ledger rejected the grant")
 		return queue.Parked
 	}
 	j.waiting = j.waiting[1:]
 	return queue.Placed
 }
 
-// overQuota reports whether one more task would take an account over its quota
-// in this unit. A quota that spans units is not shared out between them yet.
+// overQuota reports whether one more task of the job would exceed the account's
+// quota. Only usage in this unit counts, so an account can use up to its whole
+// quota in each unit.
 func (u *Unit) overQuota(j *jobState) bool {
 	quota := u.deps.Config().Set.Accounts[j.job.Account].Quota
 	return !quota.Allows(u.queue.Used(j.job.Account).Plus(j.job.Template.Need))
 }
 
-// chooseWorker returns the worker for the job's next task. The caller holds u.mu.
+// chooseWorker selects a worker for the next task of a job by the scoring of the
+// job's policy. The caller holds u.mu.
 func (u *Unit) chooseWorker(j *jobState) (provider.Worker, bool) {
 	tm := &j.job.Template
 	ask := placement.Ask{Need: tm.Need, Tolerates: tm.Tolerates, Affinity: tm.Affinity, Avoid: tm.Avoid}
@@ -100,10 +102,12 @@
 	return placement.Choose(u.index, placement.Waiting{}, ask)
 }
 
-// rackCountKey is a rack among a job's counts, which are kept by worker too.
+// rackCountKey returns the key of a worker's rack in jobState.replicaCounts, which
+// also holds counts keyed by worker name.
 func rackCountKey(w provider.Worker) string { return "rack:" + w.Rack }
 
-// countReplica counts a service's task on its worker and rack.
+// countReplica adds n to the replica counts of the task's worker and rack. It does
+// nothing for tasks that are not part of a service. The caller holds u.mu.
 func (u *Unit) countReplica(t *taskState, n int) {
 	if t.job.job.Template.Form != config.FormService {
 		return
@@ -113,8 +117,8 @@
 	t.job.replicaCounts[rackCountKey(w)] += n
 }
 
-// grant gives a task room on a worker, in memory; its commit is under way when
-// grant returns. The caller holds u.mu.
+// grant reserves capacity for a task on a worker in memory and schedules the
+// commit of the worker's ledger. The caller holds u.mu.
 func (u *Unit) grant(t *taskState, w *workerState) error {
 	tm := t.job.job.Template
 	id := t.task.Next()
@@ -137,8 +141,8 @@
 	return nil
 }
 
-// grantCommitted orders the start of a task whose grant is in the table. The caller
-// holds u.mu.
+// grantCommitted starts a task after its grant has been committed, or releases the
+// grant if the job was stopped meanwhile. The caller holds u.mu.
 func (u *Unit) grantCommitted(t *taskState) {
 	u.uncommittedGrants--
 	u.Stats.Placed++
@@ -151,13 +155,13 @@
 	u.enqueueOrder(t.worker, order{kind: orderStart, attempt: t.attempt})
 }
 
-// removeGrant takes a task off its worker in memory. The caller holds u.mu and marks
-// the worker.
+// removeGrant removes the grant of a task from the worker's ledger in memory and
+// returns its capacity. The caller holds u.mu and must mark the ledger dirty.
 func (u *Unit) removeGrant(t *taskState) {
 	w := t.worker
 	next, err := w.ledger.WithRelease(t.attempt)
 	if err != nil {
-		u.log.Error().Err(err).Msg("Grant is missing.")
+		u.log.Error().Err(err).Msg("ledger has no grant for the attempt to release")
 		return
 	}
 	w.ledger = next
@@ -166,11 +170,10 @@
 	u.reindex(w)
 }
 
-// release takes a task off its worker and records what became of it, in one
-// transaction; remember says if the task's row must be written. The worker is
-// told to forget the attempt only after that: a successor that found the grant
-// and a worker without memory of it would take the attempt for one that never
-// ran. The caller holds u.mu.
+// release removes the grant of a task and, if remember is set, writes the task's
+// row in the same transaction. The worker is told to forget the attempt only after
+// the commit: otherwise a new owner could find the grant on a worker that does not
+// list the attempt and conclude that it never ran. The caller holds u.mu.
 func (u *Unit) release(t *taskState, next job.Task, remember bool) {
 	w, attempt := t.worker, t.attempt
 	t.phase, t.endpoint = releasing, ""
@@ -190,7 +193,9 @@
 	notify(u.decideSignal)
 }
 
-// releaseCommitted goes on with a task whose room is free. The caller holds u.mu.
+// releaseCommitted applies the next state of a task after its release has been
+// committed, and queues the task again if it is waiting. Retries are delayed by
+// retryDelay. The caller holds u.mu.
 func (u *Unit) releaseCommitted(t *taskState, next job.Task) {
 	t.task, t.phase, t.attempt, t.worker = next, idle, "", nil
 	if next.State.Final() {
@@ -213,8 +218,8 @@
 	maxRetryDelay = time.Minute
 )
 
-// retryDelay returns for how long a task waits that failed, or could not be
-// started, some times.
+// retryDelay returns the exponential backoff before a task is queued again after
+// the given number of failures, reboots and unsuccessful starts.
 func retryDelay(failures int) time.Duration {
 	if failures == 0 {
 		return 0
@@ -222,6 +227,7 @@
 	return min(minRetryDelay<<min(failures-1, 10), maxRetryDelay)
 }
 
+// requeue queues a task again when its retry delay is over.
 func (u *Unit) requeue(t *taskState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/hall/doc.go
+++ b/hall/doc.go
@@ -1,35 +1,40 @@
-// Package hall runs a unit for its owner: it holds the unit's jobs, its queue
-// and its workers' ledgers in memory, decides where tasks run, commits the
-// decisions, and keeps the tasks' leases.
+// Package hall schedules the jobs of one unit on behalf of the box that owns it.
+// It holds the unit's jobs, queue and worker ledgers in memory, places tasks on
+// workers, commits the placements, and renews the task leases.
 //
-// # What is committed before what
+// # Commit order
 //
-// A worker hears of a placement only after the ledger with the grant has been
-// committed under the owner's epoch. A grant is taken out of the ledger only
-// when the attempt surely runs no more, in the same transaction that records
-// how the task ended. So the ledgers alone tell a successor what may run where.
+// The start call for a task is sent only after the ledger that contains its
+// grant has been committed under the owner's epoch. A grant is removed from the
+// ledger only when its attempt can no longer be running, in the same transaction
+// that records the outcome of the task. The ledgers therefore hold all that a
+// new owner needs to know which attempts may be running on which worker.
 //
-// Decisions change the ledgers in memory at once and mark them. Lanes write
-// marked ledgers, as many as fit one transaction, as fast as the rate limit
-// allows. A ledger that is on its way is marked again by later decisions and
-// goes out with the next transaction, so no decision waits for another's.
+// A placement changes the ledger in memory at once and marks it dirty. Several
+// goroutines commit dirty ledgers concurrently, batching as many as fit one
+// transaction, as fast as the rate limit allows. A ledger that changes while its
+// commit is in flight is marked dirty again and is written by a later
+// transaction, so placement never waits for a commit.
 //
-// # When an attempt surely runs no more
+// # When an attempt can no longer be running
 //
-//   - The worker reports that it ended or was stopped.
-//   - The worker has another boot id than the one in the grant.
-//   - The worker does not know the attempt, and was asked after the last moment
-//     at which a start call could have taken effect. Then it never ran.
-//   - The worker is out of reach, and the longest lease that any owner may have
-//     given has lapsed, clock error included.
+// One of these conditions must hold:
 //
-// No lease goes beyond Sure plus the template's lease, where Sure is until when
-// the owner knew that nobody had taken over. A successor adds the lease to the
-// moment of its takeover and has the same bound without a record of renewals.
+//   - The worker reports that the attempt ended or was stopped.
+//   - The boot ID of the worker differs from the one in the grant.
+//   - The worker does not list the attempt in a report that was requested after
+//     the start call expired. The attempt was then never started.
+//   - The worker is unreachable, and the longest lease that any owner may have
+//     granted has expired, including the clock error bound.
+//
+// A lease never extends past Deps.Sure plus the lease duration of the template,
+// where Sure is the time until which no other box can have taken over the unit.
+// A new owner derives the same bound by adding the lease duration to the time of
+// its takeover, so renewals need not be stored.
 //
 // # Locking
 //
-// One mutex guards all of a unit. Nothing that waits happens under it. Each
-// worker has two goroutines: one that renews and listens, one that carries out
-// orders; each is written straight down.
+// One mutex guards all state of a unit and is never held across blocking calls.
+// Each worker has two goroutines: one polls for reports and renews leases, the
+// other executes orders.
 package hall
--- a/hall/endpoints.go
+++ b/hall/endpoints.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Endpoint is a running replica of a service that takes requests.
+// Endpoint is a service replica that serves requests.
 type Endpoint struct {
-	Service  string `json:"service" cbor:"1,keyasint"` // template
+	Service  string `json:"service" cbor:"1,keyasint"` // name of the template
 	Attempt  string `json:"attempt" cbor:"2,keyasint"`
 	Worker   string `json:"worker" cbor:"3,keyasint"`
 	Hall     string `json:"hall" cbor:"4,keyasint"`
@@ -17,7 +17,8 @@
 	Draining bool   `json:"draining,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
-// Endpoints returns the unit's replicas that take requests.
+// Endpoints returns the replicas of the unit that serve requests, sorted by
+// attempt. It includes replicas that are draining.
 func (u *Unit) Endpoints() []Endpoint {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/hall/flush.go
+++ b/hall/flush.go
@@ -10,13 +10,13 @@
 	"chutereach/provider"
 )
 
-// change is what a decision writes, and what goes on once it is committed.
+// change is a set of row writes with a callback that runs after their commit.
 type change struct {
 	writes   []rowWrite
-	onCommit func(version uint64) // called under the unit's lock
+	onCommit func(version uint64) // called with Unit.mu held
 }
 
-// rowWrite is one row besides the ledgers.
+// rowWrite is the write or removal of a row that is not a ledger.
 type rowWrite struct {
 	key     string
 	version uint64
@@ -24,15 +24,15 @@
 	remove  bool
 }
 
-// batch is what one transaction carries.
+// batch is a transaction with the ledgers and changes that it commits.
 type batch struct {
 	txn     provider.Txn
 	workers []*workerState
 	changes []change
 }
 
-// markDirty says that a worker's ledger must be committed, with c. The caller holds
-// u.mu.
+// markDirty schedules the commit of a worker's ledger together with c. The caller
+// holds u.mu.
 func (u *Unit) markDirty(w *workerState, c change) {
 	w.changes = append(w.changes, c)
 	if !w.dirty {
@@ -42,15 +42,16 @@
 	notify(u.flushSignal)
 }
 
-// writeRows says that rows must be committed that belong to no worker. The caller
+// writeRows schedules the commit of a change that involves no ledger. The caller
 // holds u.mu.
 func (u *Unit) writeRows(c change) {
 	u.rowChanges = append(u.rowChanges, c)
 	notify(u.flushSignal)
 }
 
-// flushLoop commits what is marked, one transaction after the other. The rate
-// limit is waited for first, so that what is marked meanwhile goes along.
+// flushLoop commits pending changes, one transaction at a time. It waits for the
+// rate limiter before it assembles a batch, so that the batch includes changes made
+// during the wait.
 func (u *Unit) flushLoop() {
 	for {
 		select {
@@ -74,6 +75,8 @@
 	}
 }
 
+// flushFailed ends the unit if the commit failed with a conflict. Other errors are
+// returned only when the unit is ending.
 func (u *Unit) flushFailed(err error) {
 	var conflict *provider.ConflictError
 	if errors.As(err, &conflict) {
@@ -81,8 +84,10 @@
 	}
 }
 
-// nextBatch takes marked ledgers, each with all of its changes, and loose changes,
-// up to the size of a transaction. A ledger that is on its way stays marked.
+// nextBatch assembles a batch of dirty ledgers, each with all of its changes, and
+// of changes without a ledger, up to BatchRows rows. BatchRows is checked before
+// each addition, so the last one may exceed it. Ledgers with a commit in flight stay
+// dirty. The transaction requires that the unit's row is unchanged.
 func (u *Unit) nextBatch() batch {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,8 +117,8 @@
 	return b
 }
 
-// signalFlush wakes another lane if anything is left that need not wait for a
-// transaction on its way. The caller holds u.mu.
+// signalFlush wakes a flushLoop if there are changes that can be committed without
+// waiting for a commit in flight. The caller holds u.mu.
 func (u *Unit) signalFlush() {
 	if len(u.rowChanges) > 0 {
 		notify(u.flushSignal)
@@ -127,6 +132,7 @@
 	}
 }
 
+// addLedger adds a worker's ledger and its changes to b. The caller holds u.mu.
 func (u *Unit) addLedger(b *batch, w *workerState) {
 	key := ledger.Key(u.hold.Unit, w.name())
 	b.txn = b.txn.Put(key, w.version, w.ledger.Encode())
@@ -148,7 +154,8 @@
 	b.changes = append(b.changes, c)
 }
 
-// batchCommitted goes on after a transaction was committed.
+// batchCommitted stores the new row versions and runs the callbacks of a committed
+// batch.
 func (u *Unit) batchCommitted(b batch, version uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/hall/inbox.go
+++ b/hall/inbox.go
@@ -8,19 +8,20 @@
 	"chutereach/timeline"
 )
 
-// Notify tells the unit that its inbox may have news. It is only a hint: the
-// inbox is read every Settings.Inbox all the same.
+// Notify makes the unit read its inbox soon. It is only a hint: the inbox is also
+// read every Settings.InboxInterval.
 func (u *Unit) Notify() { notify(u.inboxSignal) }
 
-// inboxLoop moves jobs from the inbox, where any box puts them, to the unit.
+// inboxLoop moves submitted jobs from the unit's inbox, to which any box can write,
+// to the unit.
 func (u *Unit) inboxLoop() {
 	for u.ctx.Err() == nil {
 		n, err := u.readInbox()
 		if err != nil {
-			u.log.Warn().Err(err).Msg("Inbox cannot be read.")
+			u.log.Warn().Err(err).Msg("cannot read the inbox; trying again")
 		}
 		if n == inboxPageSize {
-			continue // there is more
+			continue // the inbox may hold more rows
 		}
 		t := time.NewTimer(u.settings.InboxInterval)
 		select {
@@ -34,6 +35,7 @@
 
 const inboxPageSize = 200
 
+// readInbox processes one page of the inbox and returns its number of rows.
 func (u *Unit) readInbox() (int, error) {
 	page, err := u.deps.Sender.Table().Range(u.ctx, job.InboxPrefix(u.hold.Unit), "", inboxPageSize)
 	if err != nil {
@@ -46,17 +48,18 @@
 		}
 	}
 	if len(page) == inboxPageSize && fresh == 0 {
-		u.sleep(u.settings.InboxInterval / 10) // all of them are on their way out
+		u.sleep(u.settings.InboxInterval / 10) // the removal of these rows is not committed yet
 	}
 	return len(page), nil
 }
 
-// acceptRow takes one job in, and moves its row out of the inbox in the same
-// transaction. It is queued once that has been committed.
+// acceptRow adds the job of an inbox row to the unit. One transaction writes the job
+// row and removes the inbox row; the job is queued after its commit. It reports
+// whether the job was new.
 func (u *Unit) acceptRow(row provider.Row) (fresh bool) {
 	j, err := job.Decode(row.Value)
 	if err != nil || j.ID.Unit() != u.hold.Unit {
-		u.log.Error().Err(err).Str("row", row.Key).Msg("Inbox row is no job of this unit.")
+		u.log.Error().Err(err).Str("row", row.Key).Msg("ignoring inbox row: not a valid job of this unit")
 		return false
 	}
 	u.mu.Lock()
@@ -81,21 +84,23 @@
 	return true
 }
 
-// removeDuplicate removes a row of a job that was moved already: a box whose insert had
-// no answer has sent it again after the move. The caller holds u.mu.
+// removeDuplicate removes the inbox row of a job that has already been accepted. Such
+// a row appears when a box got no response to its insert and retries it after the
+// row was moved. The caller holds u.mu.
 func (u *Unit) removeDuplicate(j *jobState, row provider.Row) {
 	if j.inboxVersion == row.Version {
-		return // on its way out, or gone since the inbox was read
+		return // removal pending, or removed since the inbox was read
 	}
 	j.inboxVersion = row.Version
 	u.writeRows(change{writes: []rowWrite{{key: row.Key, version: row.Version, remove: true}}})
 }
 
-// maxPurgedRows bounds what one sweep removes.
+// maxPurgedRows is the number of rows after which purge leaves the rest to its next
+// run.
 const maxPurgedRows = 200
 
-// purge removes jobs that ended longer ago than Settings.Keep, with the rows of
-// their tasks.
+// purge removes jobs that ended more than Settings.JobRetention ago, together with
+// their task rows.
 func (u *Unit) purge() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,6 +117,8 @@
 	}
 }
 
+// deleteJob schedules the removal of the rows of a job and its tasks, and returns
+// their number. The caller holds u.mu.
 func (u *Unit) deleteJob(j *jobState) (rows int) {
 	c := change{writes: []rowWrite{{key: j.job.Key(), version: j.version, remove: true}}}
 	for _, t := range j.tasks {
