--- a/hall/load.go
+++ b/hall/load.go
@@ -19,21 +19,22 @@
 	maxLoadBackoff = 2 * time.Second
 )
 
-// storedRows is what the table holds of a unit.
+// storedRows holds the rows of a unit in the table, and its workers from the
+// platform's list.
 type storedRows struct {
 	jobs, tasks, ledgers []provider.Row
 	fleet                []provider.Worker
 }
 
-// load rebuilds the unit from the table. It tries until it succeeds or the unit
-// ends: without the table there is nothing that could be decided.
+// load restores the unit from the table. Failed reads are retried with exponential
+// backoff until the unit ends; a row that cannot be decoded is an error.
 func (u *Unit) load() error {
 	for pause := minLoadBackoff; ; pause = min(2*pause, maxLoadBackoff) {
 		r, err := u.readRows()
 		if err == nil {
-			return eris.Wrap(u.rebuild(r), "rebuild from the table")
+			return eris.Wrap(u.rebuild(r), "restore unit from the table")
 		}
-		u.log.Warn().Err(err).Msg("Unit cannot be loaded yet.")
+		u.log.Warn().Err(err).Msg("cannot load the unit from the table; trying again")
 		if !u.sleep(pause) {
 			return u.ctx.Err()
 		}
@@ -59,12 +60,13 @@
 	return r, g.Wait()
 }
 
-// listWorkers returns the unit's workers. The list may be down for long; then the
-// ledgers alone tell of the workers.
+// listWorkers returns the unit's workers from the platform's list. If the list is
+// unavailable it returns no workers and no error: the unit then continues with the
+// workers known from its ledgers.
 func (u *Unit) listWorkers(ctx context.Context) ([]provider.Worker, error) {
 	all, err := u.deps.Workers.Fleet(ctx)
 	if err != nil {
-		u.log.Warn().Err(err).Msg("List of workers cannot be read.")
+		u.log.Warn().Err(err).Msg("cannot read the list of workers; continuing with the known workers")
 		return nil, nil
 	}
 	var own []provider.Worker
@@ -76,6 +78,7 @@
 	return own, nil
 }
 
+// rebuild restores the state of the unit from its rows.
 func (u *Unit) rebuild(r storedRows) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -114,7 +117,7 @@
 		}
 		j := u.jobs[t.Job]
 		if j == nil || t.Index >= len(j.tasks) {
-			continue // of a job that is being purged
+			continue // the job is being purged
 		}
 		s := j.tasks[t.Index]
 		s.task, s.version = t, row.Version
@@ -125,7 +128,7 @@
 	return nil
 }
 
-// addJob takes a job in without queueing it. The caller holds u.mu.
+// addJob adds a job to the unit without queueing it. The caller holds u.mu.
 func (u *Unit) addJob(j job.Job, version uint64) *jobState {
 	s := &jobState{job: j, version: version, tasks: make([]*taskState, j.Tasks), replicaCounts: map[string]int{}}
 	all := make([]taskState, j.Tasks)
@@ -137,7 +140,8 @@
 	return s
 }
 
-// addWorker takes a worker in and begins to talk to it. The caller holds u.mu.
+// addWorker adds a worker to the unit and starts its goroutines. The worker gets no
+// tasks until its first report. The caller holds u.mu.
 func (u *Unit) addWorker(l ledger.Ledger, version uint64) *workerState {
 	w := &workerState{
 		id: l.Worker().Name, ledger: l, version: version, tasks: map[string]*taskState{},
@@ -152,15 +156,15 @@
 	return w
 }
 
-// restoreGrants takes over what an earlier owner granted on a worker. How far it got
-// is for the worker to say; until then it counts as started, under the longest
-// lease that the earlier owner can have given. The caller holds u.mu.
+// restoreGrants restores the attempts that an earlier owner granted on a worker.
+// Until the worker reports on them, they are treated as started with the longest
+// lease that the earlier owner may have granted. The caller holds u.mu.
 func (u *Unit) restoreGrants(w *workerState) {
 	for _, g := range w.ledger.Grants() {
 		a, err := job.ParseAttempt(g.Attempt)
 		j := u.jobs[a.Job]
 		if err != nil || j == nil || a.Task >= len(j.tasks) {
-			u.log.Error().Str("attempt", g.Attempt).Str("worker", w.name()).Msg("Grant belongs to no job.")
+			u.log.Error().Str("attempt", g.Attempt).Str("worker", w.name()).Msg("ignoring grant in ledger: its attempt matches no task of the unit")
 			continue
 		}
 		t := j.tasks[a.Task]
@@ -173,11 +177,11 @@
 	}
 }
 
-// updateWorkers takes in what the platform says of the workers. The caller holds
-// u.mu.
+// updateWorkers applies the platform's list of workers: it adds new workers, updates
+// known ones and marks those that are no longer listed. The caller holds u.mu.
 func (u *Unit) updateWorkers(fleet []provider.Worker) {
 	if len(fleet) == 0 {
-		return // an empty list is more likely a fault than the truth
+		return // an empty list more likely means a fault of the list
 	}
 	listed := map[string]bool{}
 	for _, info := range fleet {
@@ -199,20 +203,21 @@
 	notify(u.decideSignal)
 }
 
-// reindex puts what a worker has free into the index. The caller holds u.mu.
+// reindex updates a worker's free capacity and availability in the placement index.
+// The caller holds u.mu.
 func (u *Unit) reindex(w *workerState) {
 	closed := !w.silentSince.IsZero() || w.unlisted || u.drained(w)
 	u.index.Set(w.ledger.Worker(), w.ledger.Free(), closed)
 }
 
-// drained reports whether a worker's tasks should leave it: an operator says so,
-// or the platform. The caller holds u.mu.
+// drained reports whether a worker is being drained, by the configuration or because
+// the platform lists its box as leaving. The caller holds u.mu.
 func (u *Unit) drained(w *workerState) bool {
 	info := w.ledger.Worker()
 	return w.leaving || u.deps.Config().Set.Drained(info.Name, info.Rack, info.Hall)
 }
 
-// enqueueIdle queues every task of a job that waits. The caller holds u.mu.
+// enqueueIdle queues the waiting tasks of a job. The caller holds u.mu.
 func (u *Unit) enqueueIdle(j *jobState) {
 	for i, t := range j.tasks {
 		if t.phase == idle && t.task.State == job.Waiting {
@@ -222,8 +227,9 @@
 	u.recordEvent(timeline.Event{Kind: timeline.JobQueued, Job: string(j.job.ID), Account: j.job.Account})
 }
 
-// enqueue puts a task behind its job's others. A job that is stopped or whose
-// moment has not come is not queued. The caller holds u.mu.
+// enqueue appends a task to its job's waiting tasks and queues the job, at the job's
+// start time if that is in the future. A task of a stopped job becomes final
+// instead. The caller holds u.mu.
 func (u *Unit) enqueue(j *jobState, task int) {
 	if j.job.Stopped {
 		u.setFinal(j.tasks[task], j.tasks[task].task.WithStopped(time.Now()))
@@ -251,12 +257,15 @@
 	}
 }
 
-// setFinal gives a task a final state in memory only. The caller holds u.mu.
+// setFinal sets the final state of a task in memory without writing its row. The
+// caller holds u.mu.
 func (u *Unit) setFinal(t *taskState, final job.Task) {
 	t.task = final
 	u.countFinal(t.job)
 }
 
+// countFinal counts one more final task of a job, and records when the job ended if
+// it was the last one. The caller holds u.mu.
 func (u *Unit) countFinal(j *jobState) {
 	j.finalTasks++
 	if j.finalTasks == len(j.tasks) {
--- a/hall/operate.go
+++ b/hall/operate.go
@@ -8,13 +8,14 @@
 	"chutereach/timeline"
 )
 
-// NoJobError says that a unit has no such job.
+// NoJobError reports that no job with the given ID was found.
 type NoJobError struct{ ID job.ID }
 
 func (e *NoJobError) Error() string { return fmt.Sprintf("there is no job %q", string(e.ID)) }
 
-// StopJob makes a job run no more: what waits is not started, and what runs is
-// stopped. It returns once that is on its way.
+// StopJob stops a job: its waiting tasks are not started and its running tasks are
+// stopped. It returns as soon as the commit of the request is scheduled, and does
+// nothing if the job has been stopped before.
 func (u *Unit) StopJob(id job.ID) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -37,6 +38,8 @@
 	return nil
 }
 
+// stopJobTasks makes the waiting tasks of a stopped job final and orders the stop of
+// its running ones. The caller holds u.mu.
 func (u *Unit) stopJobTasks(j *jobState) {
 	for _, i := range j.waiting {
 		u.setFinal(j.tasks[i], j.tasks[i].task.WithStopped(time.Now()))
@@ -50,7 +53,8 @@
 	}
 }
 
-// Settle gives an unknown task the state that an operator found it in.
+// Settle sets the outcome of a task in state unknown, as determined by an operator.
+// It returns as soon as the commit is scheduled.
 func (u *Unit) Settle(id job.ID, task int, s job.State) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/hall/orders.go
+++ b/hall/orders.go
@@ -9,7 +9,7 @@
 	"chutereach/timeline"
 )
 
-// orderKind is what a worker is told to do with an attempt.
+// orderKind is the type of call to make for an attempt.
 type orderKind int
 
 const (
@@ -18,19 +18,19 @@
 	orderCheckpoint
 )
 
-// order is one call to make to a worker.
+// order is a pending call to a worker.
 type order struct {
 	kind    orderKind
 	attempt string
 }
 
-// enqueueOrder adds to a worker's orders. The caller holds u.mu.
+// enqueueOrder appends an order to a worker's queue. The caller holds u.mu.
 func (u *Unit) enqueueOrder(w *workerState, o order) {
 	w.orders = append(w.orders, o)
 	notify(w.orderSignal)
 }
 
-// orderLoop carries out a worker's orders, one after the other.
+// orderLoop executes the orders of a worker in sequence.
 func (u *Unit) orderLoop(w *workerState) {
 	for {
 		select {
@@ -70,8 +70,9 @@
 	}
 }
 
-// startAttempt makes the startAttempt call of an attempt. Whatever the worker's answer leaves
-// open, its next report settles.
+// startAttempt makes the start call of an attempt. If the call fails and may still
+// have taken effect, the worker is polled once the call has expired, and its report
+// determines whether the attempt runs.
 func (u *Unit) startAttempt(w *workerState, attempt string) {
 	call, ok := u.newStartCall(w, attempt)
 	if !ok {
@@ -84,7 +85,7 @@
 	defer u.mu.Unlock()
 	t := w.tasks[attempt]
 	if t == nil || t.phase != starting {
-		return // a report was faster
+		return // a report was processed first
 	}
 	var refused *provider.RefusedError
 	switch {
@@ -92,7 +93,7 @@
 		u.handleAttemptState(w, t, state)
 	case errors.As(err, &refused):
 		if refused.Reason == provider.RefusedBoot {
-			u.markSilent(w) // place nothing there until its next report
+			u.markSilent(w) // place no tasks on it until its next report
 		}
 		u.putBackNotRun(t, string(refused.Reason))
 	case provider.NotApplied(err):
@@ -103,9 +104,9 @@
 	}
 }
 
-// newStartCall makes the call, or says that this is not the time for one: an owner
-// that is not sure of its ownership starts nothing. The attempt is then put
-// back as not run, since no call for it was ever made.
+// newStartCall returns the start call of an attempt and whether to make it. An owner
+// whose ownership may have expired starts nothing; the task is then put back, since
+// no call was made for the attempt.
 func (u *Unit) newStartCall(w *workerState, attempt string) (provider.StartCall, bool) {
 	sure := u.deps.Sure()
 	u.mu.Lock()
@@ -116,14 +117,14 @@
 	}
 	now := time.Now()
 	if !now.Before(sure) {
-		u.putBackNotRun(t, "ownership is not sure")
+		u.putBackNotRun(t, "the ownership of the unit may have expired")
 		return provider.StartCall{}, false
 	}
 	t.startExpires = earlier(now.Add(u.settings.CallTimeout), sure)
 	t.leaseUntil = now.Add(t.grant.Lease)
 	return provider.StartCall{
-		// The boot of the grant, not the worker's newest: a worker that has booted
-		// since counts the attempt as over, and must not begin it.
+		// Use the boot ID of the grant, not the worker's current one: if the worker has
+		// rebooted since, the attempt counts as ended and must not be started.
 		Attempt: attempt, Boot: t.grant.Boot, Expires: t.startExpires, Until: t.leaseUntil,
 		Need: t.grant.Need, Command: t.job.job.Template.Command,
 		Params: t.job.job.Params, Checkpoint: t.task.Checkpoint,
@@ -137,21 +138,21 @@
 	return b
 }
 
-// ownerCallExpiry returns the expiry for a call that only a unit's owner may make, and
-// whether this box is one for certain. An owner that was deposed while it was
-// paused, and does not know yet, must not stop what its successor has started,
-// nor have a worker forget what its successor has yet to hear.
+// ownerCallExpiry returns the expiry for a stop or forget call, and whether this box
+// is still certain to own the unit. An owner that lost the unit while its process was
+// suspended must not stop attempts that the new owner started, nor make a worker
+// forget attempts whose outcome the new owner has not read yet.
 func (u *Unit) ownerCallExpiry(now time.Time) (expires time.Time, sure bool) {
 	end := u.deps.Sure().Add(-u.settings.ClockError)
 	return earlier(now.Add(u.settings.CallTimeout), end), now.Before(end)
 }
 
-// stopRetryInterval is the pause before a stop that had no answer is ordered again.
+// stopRetryInterval is the delay before a failed stop call is repeated.
 const stopRetryInterval = time.Second
 
-// stopAttempt stops an attempt by call and takes in the answer, which confirms that it
-// runs no more. A stop without an answer is ordered again, until a report or
-// the lapse of the lease settles the matter.
+// stopAttempt stops an attempt by a Stop or Checkpoint call and processes the state
+// in the response. If the call fails, a Stop is ordered again until a report or the
+// expiry of the lease shows that the attempt no longer runs.
 func (u *Unit) stopAttempt(w *workerState, attempt string, call stopCall) {
 	u.mu.Lock()
 	boot := w.boot
@@ -180,6 +181,7 @@
 	}
 }
 
+// retryStop orders another Stop if the attempt has not ended yet.
 func (u *Unit) retryStop(w *workerState, attempt string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -188,8 +190,8 @@
 	}
 }
 
-// putBackNotRun puts back a task whose attempt surely never ran. The caller holds
-// u.mu.
+// putBackNotRun releases a task whose attempt is known never to have started. The
+// task waits again, or is final if its job was stopped. The caller holds u.mu.
 func (u *Unit) putBackNotRun(t *taskState, why string) {
 	u.Stats.NotRun++
 	t.failedStarts++
--- a/hall/planned.go
+++ b/hall/planned.go
@@ -9,8 +9,8 @@
 	"chutereach/timeline"
 )
 
-// Configured takes in a new revision: drains, and templates of services that
-// run.
+// Configured applies a new configuration revision: drained workers, and changed
+// templates of running services.
 func (u *Unit) Configured() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -23,8 +23,9 @@
 	notify(u.decideSignal)
 }
 
-// updateTemplate brings a service's job under the template in force. Batch work keeps
-// the template under which it was created. The caller holds u.mu.
+// updateTemplate updates the job of a service to the current revision of its
+// template. Batch jobs keep the template they were created with. The caller holds
+// u.mu.
 func (u *Unit) updateTemplate(j *jobState) {
 	rev := u.deps.Config()
 	t, known := rev.Set.Templates[j.job.Template.Name]
@@ -33,7 +34,7 @@
 	}
 	next, err := j.job.WithTemplate(t, rev.Set.Policies[t.Policy].Scoring, rev.Set.Accounts[j.job.Account], rev.Number)
 	if err != nil || j.templateUpdating {
-		return // the account lacks a parameter of the new form: the old one goes on
+		return // the account lacks a parameter of the new template, or an update is pending
 	}
 	j.templateUpdating = true
 	u.writeRows(change{
@@ -41,19 +42,20 @@
 		onCommit: func(version uint64) {
 			j.job, j.version, j.templateUpdating = next, version, false
 			u.recordEvent(timeline.Event{Kind: timeline.JobChanged, Job: string(next.ID), Account: next.Account})
-			u.updateTemplate(j) // it may have changed once more
+			u.updateTemplate(j) // the template may have changed again meanwhile
 		},
 	})
 }
 
-// sameReplicaSpec reports whether two forms of a template are alike in what a replica is.
-// How many tasks a job has was settled when it was created.
+// sameReplicaSpec reports whether two revisions of a template are equal apart from
+// the number of tasks, which is fixed when a job is created.
 func sameReplicaSpec(a, b config.Template) bool {
 	a.Tasks, b.Tasks = 0, 0
 	return reflect.DeepEqual(normalizeEmpty(a), normalizeEmpty(b))
 }
 
-// normalizeEmpty makes absent and empty lists alike: the table does not tell them apart.
+// normalizeEmpty replaces empty lists and maps by nil, since the stored form does not
+// distinguish them.
 func normalizeEmpty(t config.Template) config.Template {
 	for _, l := range []*[]string{&t.Halls, &t.Params, &t.Inputs, &t.Tolerates} {
 		if len(*l) == 0 {
@@ -68,13 +70,14 @@
 	return t
 }
 
-// boxesLoop follows the platform's list of boxes. The list lags; it only ever
-// closes a worker, and never proves that one has stopped.
+// boxesLoop polls the platform's list of boxes for those that are leaving. The list
+// may be stale, so it is used only to drain workers, never as evidence that an
+// attempt has ended.
 func (u *Unit) boxesLoop() {
 	for u.sleep(u.settings.BoxInterval) {
 		list, err := u.deps.Boxes.List(u.ctx)
 		if err != nil {
-			continue // the list as it was
+			continue // keep the last list
 		}
 		leaving := map[string]bool{}
 		for _, b := range list {
@@ -84,6 +87,7 @@
 	}
 }
 
+// setLeaving updates which workers are leaving, by name.
 func (u *Unit) setLeaving(leaving map[string]bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -97,8 +101,8 @@
 	}
 }
 
-// applyPlannedStops makes the stops that are nobody's emergency: replicas of an older form
-// of their template, and what runs on drained workers.
+// applyPlannedStops stops service replicas that have an outdated template or run on
+// drained workers, and checkpoints resumable tasks on drained workers.
 func (u *Unit) applyPlannedStops() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -117,9 +121,9 @@
 	}
 }
 
-// replaceReplicas stops replicas that are out of date or on drained workers, as
-// many at once as the template allows to be down. They are started again
-// elsewhere, or under the new form, like any that end.
+// replaceReplicas stops replicas that have an outdated template or run on drained
+// workers, while no more are down at once than the template allows. Stopped replicas
+// are placed again like any replica that ends. The caller holds u.mu.
 func (u *Unit) replaceReplicas(j *jobState) {
 	spare := j.job.Template.Down
 	for _, t := range j.tasks {
@@ -139,12 +143,15 @@
 	}
 }
 
+// needsReplacement reports whether a replica has an outdated template or runs on a
+// drained worker.
 func (u *Unit) needsReplacement(t *taskState) bool {
 	return t.grant.Revision < t.job.job.Revision || u.drained(t.worker)
 }
 
-// checkpointDrained takes a task that can be resumed off its drained worker. What
-// can be neither resumed nor replaced runs to its end there.
+// checkpointDrained orders the checkpoint of a running task on a drained worker if
+// the task can be resumed. Other batch tasks run to completion on the worker. The
+// caller holds u.mu.
 func (u *Unit) checkpointDrained(t *taskState) {
 	if t.phase != running || t.job.job.Template.Repeat != config.RepeatCheckpoint || t.task.State != job.Waiting {
 		return
--- a/hall/report.go
+++ b/hall/report.go
@@ -9,7 +9,7 @@
 	"chutereach/resource"
 )
 
-// Summary is what other boxes and people are told of a unit.
+// Summary describes a unit to other boxes and to operators.
 type Summary struct {
 	Unit     string          `json:"unit" cbor:"1,keyasint"`
 	Epoch    uint64          `json:"epoch" cbor:"2,keyasint"`
@@ -17,7 +17,8 @@
 	Workers  int             `json:"workers" cbor:"4,keyasint"`
 	Capacity resource.Amount `json:"capacity" cbor:"5,keyasint"`
 	Used     resource.Amount `json:"used" cbor:"6,keyasint"`
-	// Largest is the most of each kind that one worker has.
+	// Largest is the maximum of each resource over the workers. The maxima need not
+	// come from the same worker.
 	Largest resource.Amount `json:"largest" cbor:"7,keyasint"`
 	Jobs    int             `json:"jobs" cbor:"8,keyasint"`
 	Waiting int             `json:"waiting" cbor:"9,keyasint"` // tasks
@@ -29,10 +30,11 @@
 	Waits   []WaitSummary   `json:"waits" cbor:"15,keyasint"`
 }
 
-// maxSummaryAge is how old a summary may be: working one out looks at every task.
+// maxSummaryAge is how long a summary is cached, since computing one iterates over
+// all tasks.
 const maxSummaryAge = 250 * time.Millisecond
 
-// Summary returns what there is to say of the unit, at most summaryAge old.
+// Summary returns a summary of the unit that is at most maxSummaryAge old.
 func (u *Unit) Summary() Summary {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -69,7 +71,7 @@
 	return s
 }
 
-// JobStatus is a job and what its tasks do.
+// JobStatus is a job with the state of its tasks.
 type JobStatus struct {
 	Job    job.Job           `json:"job" cbor:"1,keyasint"`
 	Counts map[job.State]int `json:"counts" cbor:"2,keyasint"`
@@ -77,9 +79,11 @@
 	Ended  time.Time         `json:"ended,omitzero" cbor:"4,keyasint,omitempty"`
 }
 
-// Final reports whether no task of the job will run any more.
+// Final reports whether all tasks of the job are final.
 func (s JobStatus) Final() bool { return !s.Ended.IsZero() }
 
+// newJobStatus returns the status of j, with its tasks if tasks is set. Tasks with a
+// running attempt are shown in state running, which is never stored.
 func newJobStatus(j *jobState, tasks bool) JobStatus {
 	s := JobStatus{Job: j.job, Counts: map[job.State]int{}, Ended: j.endedAt}
 	for _, t := range j.tasks {
@@ -106,8 +110,8 @@
 	return newJobStatus(j, true), true
 }
 
-// Jobs returns the statuses of an account's jobs, or of all for "", the oldest
-// first.
+// Jobs returns the statuses, without tasks, of an account's jobs, or of all jobs if
+// account is empty, sorted by ID.
 func (u *Unit) Jobs(account string) []JobStatus {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -121,7 +125,7 @@
 	return all
 }
 
-// WorkerStatus is a worker as its unit's owner sees it.
+// WorkerStatus describes a worker from the point of view of the unit's owner.
 type WorkerStatus struct {
 	Name     string          `json:"name" cbor:"1,keyasint"`
 	Hall     string          `json:"hall" cbor:"2,keyasint"`
@@ -129,12 +133,12 @@
 	Unit     string          `json:"unit" cbor:"4,keyasint"`
 	Capacity resource.Amount `json:"capacity" cbor:"5,keyasint"`
 	Granted  resource.Amount `json:"granted" cbor:"6,keyasint"`
-	Usage    resource.Amount `json:"usage" cbor:"7,keyasint"` // as reported, late
+	Usage    resource.Amount `json:"usage" cbor:"7,keyasint"` // from the last report
 	Tasks    int             `json:"tasks" cbor:"8,keyasint"`
 	State    WorkerState     `json:"state" cbor:"9,keyasint"`
 }
 
-// WorkerState says whether a worker takes tasks.
+// WorkerState says whether a worker is available for new tasks, and if not, why.
 type WorkerState string
 
 // The states of a worker.
@@ -145,7 +149,7 @@
 	WorkerGone    WorkerState = "gone"
 )
 
-// Workers returns the unit's workers by name.
+// Workers returns the status of the unit's workers, sorted by name.
 func (u *Unit) Workers() []WorkerStatus {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/hall/unit.go
+++ b/hall/unit.go
@@ -23,21 +23,21 @@
 	"chutereach/wait"
 )
 
-// Settings are the times and sizes by which a unit is run.
+// Settings are the timeouts, intervals and limits of a unit.
 type Settings struct {
-	ClockError        time.Duration // by which a worker's clock may differ from this box's
-	CallTimeout       time.Duration // for which a call to a worker may be under way
-	ReportWait        time.Duration // for which a worker may hold back a report without news
-	InboxInterval     time.Duration // between reads of the inbox
-	FleetInterval     time.Duration // between reads of the list of workers
-	BoxInterval       time.Duration // between reads of the platform's list of boxes
-	ConcurrentCommits int           // transactions on their way at once
-	BatchRows         int           // rows of a transaction
-	AgingPeriod       time.Duration // after which waiting work goes a class up
-	JobRetention      time.Duration // for which ended jobs are kept
+	ClockError        time.Duration // maximum difference between the clocks of a worker and this box
+	CallTimeout       time.Duration // timeout of a call to a worker
+	ReportWait        time.Duration // how long a worker may delay a report that has no changes
+	InboxInterval     time.Duration // interval between reads of the inbox
+	FleetInterval     time.Duration // interval between reads of the list of workers
+	BoxInterval       time.Duration // interval between reads of the platform's list of boxes
+	ConcurrentCommits int           // number of concurrent transactions
+	BatchRows         int           // number of rows from which a transaction takes no further changes
+	AgingPeriod       time.Duration // wait after which a job competes with the next higher class
+	JobRetention      time.Duration // how long ended jobs are kept
 }
 
-// Defaults are the settings in use unless an operator says otherwise.
+// Defaults are the default settings.
 var Defaults = Settings{
 	ClockError:        500 * time.Millisecond,
 	CallTimeout:       2 * time.Second,
@@ -51,20 +51,20 @@
 	JobRetention:      24 * time.Hour,
 }
 
-// Deps are what a unit works with.
+// Deps are the dependencies of a unit.
 type Deps struct {
 	Workers provider.Workers
 	Boxes   provider.BoxList
 	Sender  *commit.Sender
-	// Sure returns until when no other box can have taken the unit over.
+	// Sure returns the time until which no other box can have taken over the unit.
 	Sure func() time.Time
-	// Config returns the revision in force.
+	// Config returns the current configuration revision.
 	Config func() config.Revision
 	Events *timeline.Ring
 	Log    zerolog.Logger
 }
 
-// Unit is a unit while this box owns it.
+// Unit schedules the jobs of a unit while this box owns it.
 type Unit struct {
 	hold     ownership.Hold
 	settings Settings
@@ -74,8 +74,8 @@
 	decideSignal chan struct{}
 	flushSignal  chan struct{}
 	inboxSignal  chan struct{}
-	group        sync.WaitGroup // every goroutine that may send something
-	done         chan struct{}  // closed when nothing more will be sent
+	group        sync.WaitGroup // all goroutines that may send requests
+	done         chan struct{}  // closed when no more requests will be sent
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 
@@ -86,15 +86,15 @@
 	workers           map[string]*workerState
 	index             *placement.Index
 	capacity          resource.Amount
-	dirtyWorkers      []*workerState // ledgers to commit, in the order of their marking
-	rowChanges        []change       // changes that touch no ledger
-	uncommittedGrants int            // grants not yet committed
+	dirtyWorkers      []*workerState // workers with a dirty ledger, in the order they were marked
+	rowChanges        []change       // pending changes that involve no ledger
+	uncommittedGrants int            // number of grants whose commit is pending
 	summary           Summary
-	summaryTime       time.Time // when summary was worked out
+	summaryTime       time.Time // when summary was computed
 	Stats             Stats
 }
 
-// Stats counts what a unit did. They are read under the unit's lock.
+// Stats are counters of a unit, guarded by Unit.mu.
 type Stats struct {
 	Decisions, Commits, Rows int64
 	Placed, Started, Ended   int64
@@ -102,18 +102,18 @@
 	Waits                    Waits
 }
 
-// jobState is a job and what is known of its tasks.
+// jobState is a job with the state of its tasks.
 type jobState struct {
 	job              job.Job
 	version          uint64 // of the job's row
-	inboxVersion     uint64 // version of the last inbox row that was removed, or is being so
+	inboxVersion     uint64 // version of the last inbox row whose removal was scheduled
 	tasks            []*taskState
-	waiting          []int // tasks to place, the next first
+	waiting          []int // indexes of the tasks to place, in order
 	queued           bool
-	templateUpdating bool // another form of its template is being committed
-	finalTasks       int  // tasks that run no more
+	templateUpdating bool // the commit of a template update is pending
+	finalTasks       int  // number of final tasks
 	endedAt          time.Time
-	replicaCounts    map[string]int // granted tasks by worker and by rack, of services
+	replicaCounts    map[string]int // granted replicas of a service by worker and by rack
 }
 
 // Class implements queue.Item.
@@ -125,62 +125,62 @@
 // Since implements queue.Item.
 func (j *jobState) Since() time.Time { return j.job.Created }
 
-// phase is where a task stands between its owner and its worker.
+// phase is the stage of a task's current attempt.
 type phase int
 
 const (
-	idle      phase = iota // waits, or is final
-	granting               // its grant is being committed
-	starting               // a start call may be under way
-	running                // its worker says so
-	stopping               // a stop is ordered
-	releasing              // its end is being committed
+	idle      phase = iota // no attempt: the task waits or is final
+	granting               // the commit of the grant is pending
+	starting               // the grant is committed; a start call may have been sent
+	running                // the worker reported the attempt as running
+	stopping               // a stop has been ordered
+	releasing              // the commit of the release is pending
 )
 
-// taskState is a task and its attempt under way, if it has one.
+// taskState is a task with its current attempt, if any.
 type taskState struct {
 	job     *jobState
 	task    job.Task
-	version uint64 // of the task's row; 0 while it has none
+	version uint64 // of the task's row; 0 if it has none
 	phase   phase
 
-	// Of the attempt under way:
+	// The current attempt:
 	attempt      string
 	grant        ledger.Grant
 	worker       *workerState
-	leaseUntil   time.Time // the longest lease that may have been given
-	startExpires time.Time // until when a start call may take effect
+	leaseUntil   time.Time // end of the longest lease that may have been granted
+	startExpires time.Time // when the start call expires; zero if none was made
 	endpoint     string
-	waitingSince time.Time // when the task began to wait, for measuring
-	failedStarts int       // starts in a row that surely did not happen
+	waitingSince time.Time // start of the current wait, for the wait histograms
+	failedStarts int       // consecutive attempts that were not started
 }
 
-// commitPending reports whether a grant or an end of the task is on its way to the
-// table: until it is there nothing new is decided of the task.
+// commitPending reports whether the commit of the task's grant or release is pending.
+// Reports about the attempt are ignored until then.
 func (t *taskState) commitPending() bool { return t.phase == granting || t.phase == releasing }
 
-// startNotSent reports whether a start is ordered and no call was made for it yet.
+// startNotSent reports whether a start has been ordered but no call was made yet.
 func (t *taskState) startNotSent() bool { return t.phase == starting && t.startExpires.IsZero() }
 
-// workerState is a worker of the unit.
+// workerState is the state of a worker in the unit.
 type workerState struct {
-	id             string // does not change, and so may be read without the lock
+	id             string // immutable, so it can be read without holding Unit.mu
 	ledger         ledger.Ledger
 	version        uint64 // of the ledger's row
 	tasks          map[string]*taskState
-	changes        []change // to commit with the ledger
-	dirty          bool     // is among the unit's dirty
-	commitInFlight bool     // its ledger is on its way
+	changes        []change // pending changes to commit with the ledger
+	dirty          bool     // is in Unit.dirtyWorkers
+	commitInFlight bool     // a transaction with its ledger is in flight
 
-	boot        string // "" until heard of
+	boot        string // boot ID of the last report; empty until the first one
 	reportSeq   uint64
-	silentSince time.Time // since when it has not answered; zero while it does
-	unlisted    bool      // the platform lists it no more
-	leaving     bool      // the platform says that it is leaving
+	silentSince time.Time // start of its unresponsiveness; zero while it responds
+	unlisted    bool      // it is no longer in the platform's list of workers
+	leaving     bool      // the platform lists its box as leaving
 	orders      []order
 
-	cancelPoll      context.CancelFunc // breaks off the question under way
-	pollInterrupted bool               // it was broken off on purpose
+	cancelPoll      context.CancelFunc // cancels the poll in flight
+	pollInterrupted bool               // the poll was canceled by pollNow
 	orderSignal     chan struct{}
 	toForget        []string
 	usage           resource.Amount
@@ -188,20 +188,22 @@
 
 func (w *workerState) name() string { return w.id }
 
-// LostError says that a unit can no longer be run by this box.
+// LostError reports that this box can no longer run a unit.
 type LostError struct {
 	Unit  string
 	Cause error
 }
 
-func (e *LostError) Error() string { return "unit " + e.Unit + " is lost: " + e.Cause.Error() }
+func (e *LostError) Error() string {
+	return "unit " + e.Unit + " can no longer be run by this box: " + e.Cause.Error()
+}
 
 func (e *LostError) Unwrap() error { return e.Cause }
 
-// errStopped ends a unit that this box gives up.
-var errStopped = errors.New("the box gave the unit up")
+// errStopped is the cancellation cause of a unit ended by Stop.
+var errStopped = errors.New("unit stopped")
 
-// New returns a unit that Run will run.
+// New returns a unit that is ready to Run.
 func New(h ownership.Hold, set Settings, deps Deps) *Unit {
 	u := &Unit{
 		hold: h, settings: set, deps: deps, log: deps.Log.With().Str("unit", h.Unit).Logger(),
@@ -214,8 +216,8 @@
 	return u
 }
 
-// Run loads the unit and runs it until Stop or until it is lost. It returns a
-// LostError, or nil after Stop, when nothing more will be sent for the unit.
+// Run loads the unit and runs it until Stop is called or it fails. It returns after
+// all goroutines of the unit have ended: nil after Stop, else a LostError.
 func (u *Unit) Run() error {
 	defer close(u.done)
 	defer u.group.Wait()
@@ -234,19 +236,19 @@
 	return u.runError(context.Cause(u.ctx))
 }
 
-// Stop ends the unit, which Run must have been called for, and waits until
-// nothing more will be sent for it. It returns until when leases were counted
-// from.
+// Stop ends the unit and waits until Run returns. It must not be called without Run.
+// It returns the latest time from which the unit can have counted a lease.
 func (u *Unit) Stop() time.Time {
 	u.cancel(errStopped)
 	<-u.done
 	return time.Now()
 }
 
-// abort ends a unit that cannot be run here any more. The cause keeps where it
-// came from: by the time it is logged, every goroutine of the unit has ended.
+// abort ends the unit with an error. The cause is wrapped to record the stack trace
+// here, since Run returns it only after all goroutines have ended.
 func (u *Unit) abort(cause error) { u.cancel(eris.Wrap(cause, "commit")) }
 
+// runError returns the result of Run for err: nil after Stop, else a LostError.
 func (u *Unit) runError(err error) error {
 	if errors.Is(context.Cause(u.ctx), errStopped) {
 		return nil
@@ -254,13 +256,14 @@
 	return &LostError{u.hold.Unit, err}
 }
 
-// recordEvent records an event of the unit.
+// recordEvent adds an event of the unit to the timeline.
 func (u *Unit) recordEvent(e timeline.Event) {
 	e.Unit = u.hold.Unit
 	u.deps.Events.Add(e)
 }
 
-// notify wakes whoever waits on c, once.
+// notify sends on c without blocking. A notification that is already pending is
+// enough.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -268,10 +271,11 @@
 	}
 }
 
-// sleep waits for d or until the unit ends, and reports whether it goes on.
+// sleep waits for d or until the unit ends, and reports whether the unit is still
+// running.
 func (u *Unit) sleep(d time.Duration) bool { return wait.For(u.ctx, d) == nil }
 
-// owns reports whether a worker belongs to the unit.
+// owns reports whether a worker belongs to the unit according to the configuration.
 func (u *Unit) owns(w provider.Worker) bool {
 	h, declared := u.deps.Config().Set.Halls[w.Hall]
 	return declared && control.UnitOf(h, w.Rack) == u.hold.Unit
--- a/hall/waits.go
+++ b/hall/waits.go
@@ -13,8 +13,8 @@
 	waitSignificantDigits = 3
 )
 
-// Waits keeps how long tasks waited from the moment they were due until they
-// ran, by class, in microseconds.
+// Waits holds a histogram per class of the time in microseconds between the moment
+// a task could have run and the report that it runs.
 type Waits map[config.Class]*hdrhistogram.Histogram
 
 func (w *Waits) record(c config.Class, d time.Duration) {
@@ -29,7 +29,7 @@
 	h.RecordValue(min(max(d.Microseconds(), 1), maxWait))
 }
 
-// WaitSummary is the waits of one class.
+// WaitSummary summarizes the wait times of one class.
 type WaitSummary struct {
 	Class config.Class  `json:"class" cbor:"1,keyasint"`
 	Count int64         `json:"count" cbor:"2,keyasint"`
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -16,12 +16,12 @@
 const (
 	minPollBackoff = 100 * time.Millisecond
 	maxPollBackoff = 2 * time.Second
-	// renewalsPerLease is how often a lease is renewed before it lapses.
+	// renewalsPerLease is how many times a lease is renewed per lease duration.
 	renewalsPerLease = 3
 )
 
-// watchLoop renews the leases of a worker's tasks and takes in its reports. The
-// first call asks what it runs; each one after holds until there is news.
+// watchLoop polls a worker, which renews the leases of its tasks and returns reports.
+// The first call lists its attempts; the following ones are long polls.
 func (u *Unit) watchLoop(w *workerState) {
 	pause := minPollBackoff
 	for u.ctx.Err() == nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// poll makes one call: List to a worker that is not known yet, else Renew.
+// poll calls List if the worker's boot ID is unknown, else Renew.
 func (u *Unit) poll(w *workerState) (provider.Report, error) {
 	call, forget, known := u.newRenewCall(w)
 	if !known {
@@ -61,15 +61,17 @@
 		w.toForget = append(w.toForget, forget...)
 		var refused *provider.RefusedError
 		if errors.As(err, &refused) && refused.Reason == provider.RefusedBoot {
-			w.boot = "" // ask anew what it runs
+			w.boot = "" // the next poll calls List
 		}
 	}
 	return report, err
 }
 
-// newRenewCall makes the call that renews every lease on a worker. No lease goes
-// beyond Sure plus the template's lease, so that it goes on through an outage of
-// the table for as long as that bound allows.
+// newRenewCall returns the next Renew call to a worker. Leases are counted from now
+// or from Deps.Sure, whichever is earlier, so during an outage of the table they end
+// at Sure plus the lease duration. A lease is included only if that extends it by
+// more than half a renewal interval. The returned forget is restored by the caller
+// if the call fails; known is false if the worker must be listed first.
 func (u *Unit) newRenewCall(w *workerState) (call provider.RenewCall, forget []string, known bool) {
 	sure := u.deps.Sure()
 	u.mu.Lock()
@@ -83,7 +85,7 @@
 	from := earlier(now, sure)
 	call = provider.RenewCall{Boot: w.boot, Expires: now.Add(u.settings.CallTimeout), Seen: w.reportSeq, Wait: u.settings.ReportWait}
 	if !w.silentSince.IsZero() || nudged {
-		call.Wait = 0 // ask for an answer at once
+		call.Wait = 0 // request an immediate response
 	}
 	if expires, sure := u.ownerCallExpiry(now); sure && len(w.toForget) > 0 {
 		call.Forget, call.Expires = w.toForget, expires
@@ -103,8 +105,9 @@
 	return call, forget, true
 }
 
-// pollNow makes the watch ask a worker at once instead of waiting for news: a
-// start had no answer, and it has become possible to tell if it took effect.
+// pollNow interrupts the long poll of a worker and polls it at once. It is called
+// when a start call without a response has expired, so that the next report shows
+// whether it took effect.
 func (u *Unit) pollNow(w *workerState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -114,15 +117,15 @@
 	}
 }
 
-// pollWasInterrupted reports whether a question was broken off by nudge. Then its failure
-// says nothing of the worker.
+// pollWasInterrupted reports whether a poll was canceled by pollNow. Its error then
+// does not mean that the worker is unresponsive.
 func (u *Unit) pollWasInterrupted(w *workerState) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return w.pollInterrupted
 }
 
-// pollFailed notes that a worker did not answer.
+// pollFailed handles a poll to which the worker did not respond.
 func (u *Unit) pollFailed(w *workerState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -131,7 +134,8 @@
 	}
 }
 
-// markSilent closes a worker until its next report. The caller holds u.mu.
+// markSilent excludes a worker from placement until its next report. The caller
+// holds u.mu.
 func (u *Unit) markSilent(w *workerState) {
 	if !w.silentSince.IsZero() {
 		return
@@ -141,7 +145,7 @@
 	u.recordEvent(timeline.Event{Kind: timeline.WorkerSilent, Worker: w.name()})
 }
 
-// handleReport takes in a worker's report, which was asked for at a time.
+// handleReport processes a worker's report that was requested at the time asked.
 func (u *Unit) handleReport(w *workerState, r provider.Report, asked time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -167,7 +171,9 @@
 	u.handleMissing(w, seen, asked)
 }
 
-// handleReportedAttempt takes in one attempt of a report.
+// handleReportedAttempt processes one attempt of a report. An attempt of this unit
+// without a grant is stopped if it runs, else the worker is told to forget it. The
+// caller holds u.mu.
 func (u *Unit) handleReportedAttempt(w *workerState, state provider.AttemptState) {
 	if t := w.tasks[state.Attempt]; t != nil {
 		u.handleAttemptState(w, t, state)
@@ -175,17 +181,18 @@
 	}
 	a, err := job.ParseAttempt(state.Attempt)
 	if err != nil || a.Job.Unit() != u.hold.Unit {
-		return // another unit's, or not ours at all
+		return // not an attempt of this unit
 	}
 	if state.Phase != provider.PhaseRunning {
-		// Its end is on record, or it would have a grant.
+		// It has no grant, so its end has been committed.
 		w.toForget = append(w.toForget, state.Attempt)
 		return
 	}
 	u.enqueueOrder(w, order{kind: orderStop, attempt: state.Attempt})
 }
 
-// handleAttemptState goes on with a task of whose attempt the worker spoke.
+// handleAttemptState updates a task from the state of its attempt on the worker. The
+// caller holds u.mu.
 func (u *Unit) handleAttemptState(w *workerState, t *taskState, state provider.AttemptState) {
 	if t.commitPending() {
 		return
@@ -200,6 +207,8 @@
 	}
 }
 
+// attemptRunning handles an attempt that the worker reports as running. The caller
+// holds u.mu.
 func (u *Unit) attemptRunning(t *taskState, state provider.AttemptState) {
 	if state.Until.After(t.leaseUntil) {
 		t.leaseUntil = state.Until
@@ -217,8 +226,8 @@
 	}
 }
 
-// runnableSince returns since when a task could have run: a job's intended start, so that
-// no wait is hidden, or the end of the attempt before.
+// runnableSince returns the time since which a task has been able to run: the later
+// of the job's start time and the time when the task began to wait.
 func runnableSince(t *taskState) time.Time {
 	if t.job.job.Start.After(t.waitingSince) {
 		return t.job.job.Start
@@ -226,7 +235,7 @@
 	return t.waitingSince
 }
 
-// attemptEnded records an attempt that ran to its end.
+// attemptEnded records an attempt that ran to completion. The caller holds u.mu.
 func (u *Unit) attemptEnded(t *taskState, state provider.AttemptState) {
 	u.Stats.Ended++
 	next := t.task.WithEnd(t.job.job.Template, state.OK, state.Result, time.Now())
@@ -237,22 +246,23 @@
 	u.release(t, next, true)
 }
 
-// attemptLost records an attempt that surely runs no more and did not reach its end.
+// attemptLost records an attempt that no longer runs and did not complete. The
+// caller holds u.mu.
 func (u *Unit) attemptLost(t *taskState, checkpoint, why string) {
 	u.recordLoss(t, t.task.WithLoss(t.job.job.Template, checkpoint, time.Now()), why)
 }
 
-// attemptRebooted records an attempt of which the worker has attemptRebooted.
+// attemptRebooted records an attempt whose worker has rebooted. The caller holds u.mu.
 func (u *Unit) attemptRebooted(t *taskState) {
 	next := t.task.WithReboot(t.job.job.Template, time.Now())
 	why := "the worker rebooted"
 	if next.State == job.Failed {
-		why = "as many workers in a row have rebooted under it as are allowed"
+		why = "the task has reached the limit of consecutive worker reboots"
 	}
 	u.recordLoss(t, next, why)
 }
 
-// recordLoss records what becomes of a task whose attempt did not reach its end.
+// recordLoss releases a task whose attempt did not complete. The caller holds u.mu.
 func (u *Unit) recordLoss(t *taskState, next job.Task, why string) {
 	u.Stats.Lost++
 	now := time.Now()
@@ -267,7 +277,8 @@
 	u.release(t, next, true)
 }
 
-// handleMissing goes on with the attempts that a report does not speak of.
+// handleMissing handles the granted attempts that are absent from a report. The
+// caller holds u.mu.
 func (u *Unit) handleMissing(w *workerState, seen map[string]bool, asked time.Time) {
 	for _, g := range w.ledger.Grants() {
 		t := w.tasks[g.Attempt]
@@ -282,26 +293,27 @@
 		case g.Boot != w.boot:
 			u.attemptRebooted(t)
 		case asked.After(t.startExpires.Add(u.settings.ClockError)):
-			// The worker remembers every attempt until told to forget, and a
-			// start call that is still on its way would come too late.
+			// The worker lists every attempt until told to forget it, and a start
+			// call that has not arrived yet has expired.
 			u.attemptUnknown(t)
 		}
 	}
 }
 
-// attemptUnknown settles an attempt of which its worker knows nothing. One
-// that was seen running and is unknown now breaks the worker's promise to
-// remember; it counts as lost.
+// attemptUnknown releases an attempt that its worker does not list. If it is still
+// starting, it never ran. Otherwise the worker has violated the contract to list
+// attempts until told to forget them, and the attempt counts as lost. The caller
+// holds u.mu.
 func (u *Unit) attemptUnknown(t *taskState) {
 	if t.phase == starting {
-		u.putBackNotRun(t, "the worker never heard of it")
+		u.putBackNotRun(t, "the worker has no record of the attempt")
 		return
 	}
-	u.attemptLost(t, "", "the worker has forgotten it")
+	u.attemptLost(t, "", "the worker no longer lists the attempt")
 }
 
-// sweepLoop ends what silent workers ran once its leases have surely lapsed, and
-// keeps the list of workers fresh.
+// sweepLoop periodically releases attempts whose leases have expired on unresponsive
+// workers, purges old jobs, applies planned stops and refreshes the list of workers.
 func (u *Unit) sweepLoop() {
 	fleet := time.Now()
 	for u.sleep(time.Second) {
@@ -321,7 +333,8 @@
 	}
 }
 
-// releaseExpired releases the attempts on silent workers that surely run no more.
+// releaseExpired releases the attempts on unresponsive workers whose lease and start
+// call have expired, clock error included.
 func (u *Unit) releaseExpired() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -335,7 +348,7 @@
 				continue
 			}
 			if now.After(t.leaseUntil.Add(u.settings.ClockError)) && now.After(t.startExpires.Add(u.settings.ClockError)) {
-				u.attemptLost(t, "", "the worker is out of reach and the lease has lapsed")
+				u.attemptLost(t, "", "the worker is unreachable and the lease has expired")
 			}
 		}
 	}
