--- a/hall/decide.go
+++ b/hall/decide.go
@@ -41,7 +41,7 @@
 func (u *Unit) decide() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	refused := map[placementKey]bool{}
+	unplaceable := map[placementKey]bool{}
 	var done []*jobState
 	u.queue.Round(time.Now(), func(j *jobState) queue.Verdict {
 		if u.uncommittedGrants >= maxUncommittedGrants {
@@ -51,7 +51,7 @@
 			done = append(done, j)
 			return queue.Parked
 		}
-		return u.placeNext(j, refused)
+		return u.placeNext(j, unplaceable)
 	})
 	for _, j := range done {
 		u.queue.Remove(j)
@@ -60,16 +60,16 @@
 }
 
 // placeNext tries to place the next waiting task of a job. The caller holds u.mu.
-func (u *Unit) placeNext(j *jobState, refused map[placementKey]bool) queue.Verdict {
+func (u *Unit) placeNext(j *jobState, unplaceable map[placementKey]bool) queue.Verdict {
 	u.Stats.Decisions++
 	key := placementKey{j.job.Template.Name, j.job.Revision, j.job.Template.Need}
-	if refused[key] || u.overQuota(j) {
+	if unplaceable[key] || u.overQuota(j) {
 		return queue.Parked
 	}
 	t := j.tasks[j.waiting[0]]
 	info, found := u.chooseWorker(j)
 	if !found {
-		refused[key] = true
+		unplaceable[key] = true
 		return queue.Parked
 	}
 	if err := u.grant(t, u.workers[info.Name]); err != nil {
@@ -152,7 +152,7 @@
 		return
 	}
 	t.phase = starting
-	u.enqueueOrder(t.worker, order{kind: orderStart, attempt: t.attempt})
+	u.enqueueCall(t.worker, workerCall{kind: callStart, attempt: t.attempt})
 }
 
 // removeGrant removes the grant of a task from the worker's ledger in memory and
@@ -170,23 +170,23 @@
 	u.reindex(w)
 }
 
-// release removes the grant of a task and, if remember is set, writes the task's
+// release removes the grant of a task and, if writeTask is set, writes the task's
 // row in the same transaction. The worker is told to forget the attempt only after
 // the commit: otherwise a new owner could find the grant on a worker that does not
 // list the attempt and conclude that it never ran. The caller holds u.mu.
-func (u *Unit) release(t *taskState, next job.Task, remember bool) {
+func (u *Unit) release(t *taskState, next job.Task, writeTask bool) {
 	w, attempt := t.worker, t.attempt
 	t.phase, t.endpoint = releasing, ""
 	u.removeGrant(t)
 	c := change{onCommit: func(version uint64) {
-		if remember {
+		if writeTask {
 			t.version = version
 		}
 		delete(w.tasks, attempt)
 		w.toForget = append(w.toForget, attempt)
 		u.releaseCommitted(t, next)
 	}}
-	if remember {
+	if writeTask {
 		c.writes = []rowWrite{{key: next.Key(), version: t.version, value: next.Encode()}}
 	}
 	u.markDirty(w, c)
--- a/hall/doc.go
+++ b/hall/doc.go
@@ -36,5 +36,5 @@
 //
 // One mutex guards all state of a unit and is never held across blocking calls.
 // Each worker has two goroutines: one polls for reports and renews leases, the
-// other executes orders.
+// other makes start, stop and checkpoint calls.
 package hall
--- a/hall/inbox.go
+++ b/hall/inbox.go
@@ -41,13 +41,13 @@
 	if err != nil {
 		return 0, err
 	}
-	fresh := 0
+	accepted := 0
 	for _, row := range page {
 		if u.acceptRow(row) {
-			fresh++
+			accepted++
 		}
 	}
-	if len(page) == inboxPageSize && fresh == 0 {
+	if len(page) == inboxPageSize && accepted == 0 {
 		u.sleep(u.settings.InboxInterval / 10) // the removal of these rows is not committed yet
 	}
 	return len(page), nil
@@ -56,7 +56,7 @@
 // acceptRow adds the job of an inbox row to the unit. One transaction writes the job
 // row and removes the inbox row; the job is queued after its commit. It reports
 // whether the job was new.
-func (u *Unit) acceptRow(row provider.Row) (fresh bool) {
+func (u *Unit) acceptRow(row provider.Row) (accepted bool) {
 	j, err := job.Decode(row.Value)
 	if err != nil || j.ID.Unit() != u.hold.Unit {
 		u.log.Error().Err(err).Str("row", row.Key).Msg("ignoring inbox row: not a valid job of this unit")
--- a/hall/load.go
+++ b/hall/load.go
@@ -145,14 +145,14 @@
 func (u *Unit) addWorker(l ledger.Ledger, version uint64) *workerState {
 	w := &workerState{
 		id: l.Worker().Name, ledger: l, version: version, tasks: map[string]*taskState{},
-		silentSince: time.Now(), orderSignal: make(chan struct{}, 1),
+		silentSince: time.Now(), callSignal: make(chan struct{}, 1),
 	}
 	u.workers[w.name()] = w
 	u.reindex(w)
 	u.capacity = u.capacity.Plus(l.Worker().Capacity)
 	u.queue.SetWhole(u.capacity)
 	u.group.Go(func() { u.watchLoop(w) })
-	u.group.Go(func() { u.orderLoop(w) })
+	u.group.Go(func() { u.callLoop(w) })
 	return w
 }
 
@@ -240,8 +240,8 @@
 		return
 	}
 	j.queued = true
-	if early := time.Until(j.job.Start); early > 0 {
-		time.AfterFunc(early, func() { u.addToQueue(j) })
+	if delay := time.Until(j.job.Start); delay > 0 {
+		time.AfterFunc(delay, func() { u.addToQueue(j) })
 		return
 	}
 	u.queue.Add(j)
--- a/hall/operate.go
+++ b/hall/operate.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// stopJobTasks makes the waiting tasks of a stopped job final and orders the stop of
-// its running ones. The caller holds u.mu.
+// stopJobTasks makes the waiting tasks of a stopped job final and schedules the
+// stop of its running ones. The caller holds u.mu.
 func (u *Unit) stopJobTasks(j *jobState) {
 	for _, i := range j.waiting {
 		u.setFinal(j.tasks[i], j.tasks[i].task.WithStopped(time.Now()))
@@ -48,7 +48,7 @@
 	for _, t := range j.tasks {
 		if t.phase == running {
 			t.phase = stopping
-			u.enqueueOrder(t.worker, order{kind: orderStop, attempt: t.attempt})
+			u.enqueueCall(t.worker, workerCall{kind: callStop, attempt: t.attempt})
 		}
 	}
 }
--- a/hall/orders.go
+++ b/hall/orders.go
@@ -9,64 +9,64 @@
 	"chutereach/timeline"
 )
 
-// orderKind is the type of call to make for an attempt.
-type orderKind int
+// callKind is the type of call to make for an attempt.
+type callKind int
 
 const (
-	orderStart orderKind = iota
-	orderStop
-	orderCheckpoint
+	callStart callKind = iota
+	callStop
+	callCheckpoint
 )
 
-// order is a pending call to a worker.
-type order struct {
-	kind    orderKind
+// workerCall is a pending call to a worker.
+type workerCall struct {
+	kind    callKind
 	attempt string
 }
 
-// enqueueOrder appends an order to a worker's queue. The caller holds u.mu.
-func (u *Unit) enqueueOrder(w *workerState, o order) {
-	w.orders = append(w.orders, o)
-	notify(w.orderSignal)
+// enqueueCall appends a call to a worker's pending calls. The caller holds u.mu.
+func (u *Unit) enqueueCall(w *workerState, c workerCall) {
+	w.pendingCalls = append(w.pendingCalls, c)
+	notify(w.callSignal)
 }
 
-// orderLoop executes the orders of a worker in sequence.
-func (u *Unit) orderLoop(w *workerState) {
+// callLoop makes the pending calls to a worker in sequence.
+func (u *Unit) callLoop(w *workerState) {
 	for {
 		select {
 		case <-u.ctx.Done():
 			return
-		case <-w.orderSignal:
+		case <-w.callSignal:
 		}
 		for {
-			o, more := u.nextOrder(w)
+			c, more := u.nextCall(w)
 			if !more || u.ctx.Err() != nil {
 				break
 			}
-			u.execute(w, o)
+			u.makeCall(w, c)
 		}
 	}
 }
 
-func (u *Unit) nextOrder(w *workerState) (order, bool) {
+func (u *Unit) nextCall(w *workerState) (workerCall, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(w.orders) == 0 {
-		return order{}, false
+	if len(w.pendingCalls) == 0 {
+		return workerCall{}, false
 	}
-	o := w.orders[0]
-	w.orders = w.orders[1:]
-	return o, true
+	c := w.pendingCalls[0]
+	w.pendingCalls = w.pendingCalls[1:]
+	return c, true
 }
 
-func (u *Unit) execute(w *workerState, o order) {
-	switch o.kind {
-	case orderStart:
-		u.startAttempt(w, o.attempt)
-	case orderStop:
-		u.stopAttempt(w, o.attempt, u.deps.Workers.Stop)
-	case orderCheckpoint:
-		u.stopAttempt(w, o.attempt, u.deps.Workers.Checkpoint)
+func (u *Unit) makeCall(w *workerState, c workerCall) {
+	switch c.kind {
+	case callStart:
+		u.startAttempt(w, c.attempt)
+	case callStop:
+		u.stopAttempt(w, c.attempt, u.deps.Workers.Stop)
+	case callCheckpoint:
+		u.stopAttempt(w, c.attempt, u.deps.Workers.Checkpoint)
 	}
 }
 
@@ -99,8 +99,8 @@
 	case provider.NotApplied(err):
 		u.putBackNotRun(t, err.Error())
 	default:
-		known := t.startExpires.Add(u.settings.ClockError + time.Millisecond)
-		time.AfterFunc(time.Until(known), func() { u.pollNow(w) })
+		expired := t.startExpires.Add(u.settings.ClockError + time.Millisecond)
+		time.AfterFunc(time.Until(expired), func() { u.pollNow(w) })
 	}
 }
 
@@ -151,16 +151,16 @@
 const stopRetryInterval = time.Second
 
 // stopAttempt stops an attempt by a Stop or Checkpoint call and processes the state
-// in the response. If the call fails, a Stop is ordered again until a report or the
+// in the response. If the call fails, a Stop is repeated until a report or the
 // expiry of the lease shows that the attempt no longer runs.
-func (u *Unit) stopAttempt(w *workerState, attempt string, call stopCall) {
+func (u *Unit) stopAttempt(w *workerState, attempt string, call stopFunc) {
 	u.mu.Lock()
 	boot := w.boot
-	_, there := w.tasks[attempt]
+	_, granted := w.tasks[attempt]
 	u.mu.Unlock()
 	expires, sure := u.ownerCallExpiry(time.Now())
 	if !sure {
-		if there {
+		if granted {
 			time.AfterFunc(stopRetryInterval, func() { u.retryStop(w, attempt) })
 		}
 		return
@@ -176,17 +176,17 @@
 		u.handleAttemptState(w, t, state)
 		return
 	}
-	if err != nil && there && t != nil && t.phase == stopping {
+	if err != nil && granted && t != nil && t.phase == stopping {
 		time.AfterFunc(stopRetryInterval, func() { u.retryStop(w, attempt) })
 	}
 }
 
-// retryStop orders another Stop if the attempt has not ended yet.
+// retryStop schedules another Stop if the attempt has not ended yet.
 func (u *Unit) retryStop(w *workerState, attempt string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if t := w.tasks[attempt]; t != nil && t.phase == stopping && u.ctx.Err() == nil {
-		u.enqueueOrder(w, order{kind: orderStop, attempt: attempt})
+		u.enqueueCall(w, workerCall{kind: callStop, attempt: attempt})
 	}
 }
 
--- a/hall/planned.go
+++ b/hall/planned.go
@@ -34,7 +34,8 @@
 	}
 	next, err := j.job.WithTemplate(t, rev.Set.Policies[t.Policy].Scoring, rev.Set.Accounts[j.job.Account], rev.Number)
 	if err != nil || j.templateUpdating {
-		return // the account lacks a parameter of the new template, or an update is pending
+		// The account lacks a parameter of the new template, or an update is pending.
+		return
 	}
 	j.templateUpdating = true
 	u.writeRows(change{
@@ -125,20 +126,20 @@
 // workers, while no more are down at once than the template allows. Stopped replicas
 // are placed again like any replica that ends. The caller holds u.mu.
 func (u *Unit) replaceReplicas(j *jobState) {
-	spare := j.job.Template.Down
+	allowed := j.job.Template.Down
 	for _, t := range j.tasks {
 		if t.phase != running && !t.task.State.Final() {
-			spare--
+			allowed--
 		}
 	}
 	for _, t := range j.tasks {
-		if spare <= 0 {
+		if allowed <= 0 {
 			return
 		}
 		if t.phase == running && u.needsReplacement(t) {
 			t.phase = stopping
-			u.enqueueOrder(t.worker, order{kind: orderStop, attempt: t.attempt})
-			spare--
+			u.enqueueCall(t.worker, workerCall{kind: callStop, attempt: t.attempt})
+			allowed--
 		}
 	}
 }
@@ -149,7 +150,7 @@
 	return t.grant.Revision < t.job.job.Revision || u.drained(t.worker)
 }
 
-// checkpointDrained orders the checkpoint of a running task on a drained worker if
+// checkpointDrained schedules the checkpoint of a running task on a drained worker if
 // the task can be resumed. Other batch tasks run to completion on the worker. The
 // caller holds u.mu.
 func (u *Unit) checkpointDrained(t *taskState) {
@@ -157,5 +158,5 @@
 		return
 	}
 	t.phase = stopping
-	u.enqueueOrder(t.worker, order{kind: orderCheckpoint, attempt: t.attempt})
+	u.enqueueCall(t.worker, workerCall{kind: callCheckpoint, attempt: t.attempt})
 }
--- a/hall/unit.go
+++ b/hall/unit.go
@@ -99,7 +99,7 @@
 	Decisions, Commits, Rows int64
 	Placed, Started, Ended   int64
 	NotRun, Lost             int64
-	Waits                    Waits
+	Waits                    WaitHistograms
 }
 
 // jobState is a job with the state of its tasks.
@@ -133,7 +133,7 @@
 	granting               // the commit of the grant is pending
 	starting               // the grant is committed; a start call may have been sent
 	running                // the worker reported the attempt as running
-	stopping               // a stop has been ordered
+	stopping               // a stop call is pending or has been made
 	releasing              // the commit of the release is pending
 )
 
@@ -159,7 +159,7 @@
 // Reports about the attempt are ignored until then.
 func (t *taskState) commitPending() bool { return t.phase == granting || t.phase == releasing }
 
-// startNotSent reports whether a start has been ordered but no call was made yet.
+// startNotSent reports whether the start call is still pending.
 func (t *taskState) startNotSent() bool { return t.phase == starting && t.startExpires.IsZero() }
 
 // workerState is the state of a worker in the unit.
@@ -172,16 +172,16 @@
 	dirty          bool     // is in Unit.dirtyWorkers
 	commitInFlight bool     // a transaction with its ledger is in flight
 
-	boot        string // boot ID of the last report; empty until the first one
-	reportSeq   uint64
-	silentSince time.Time // start of its unresponsiveness; zero while it responds
-	unlisted    bool      // it is no longer in the platform's list of workers
-	leaving     bool      // the platform lists its box as leaving
-	orders      []order
+	boot         string // boot ID from the last report; empty if unknown
+	reportSeq    uint64
+	silentSince  time.Time // start of its unresponsiveness; zero while it responds
+	unlisted     bool      // it is no longer in the platform's list of workers
+	leaving      bool      // the platform lists its box as leaving
+	pendingCalls []workerCall
 
 	cancelPoll      context.CancelFunc // cancels the poll in flight
 	pollInterrupted bool               // the poll was canceled by pollNow
-	orderSignal     chan struct{}
+	callSignal      chan struct{}
 	toForget        []string
 	usage           resource.Amount
 }
--- a/hall/waits.go
+++ b/hall/waits.go
@@ -13,13 +13,13 @@
 	waitSignificantDigits = 3
 )
 
-// Waits holds a histogram per class of the time in microseconds between the moment
-// a task could have run and the report that it runs.
-type Waits map[config.Class]*hdrhistogram.Histogram
+// WaitHistograms holds a histogram per class of the time in microseconds from the
+// moment a task could have run to the report that it runs.
+type WaitHistograms map[config.Class]*hdrhistogram.Histogram
 
-func (w *Waits) record(c config.Class, d time.Duration) {
+func (w *WaitHistograms) record(c config.Class, d time.Duration) {
 	if *w == nil {
-		*w = Waits{}
+		*w = WaitHistograms{}
 	}
 	h := (*w)[c]
 	if h == nil {
@@ -38,7 +38,7 @@
 	Max   time.Duration `json:"max" cbor:"5,keyasint"`
 }
 
-func (w Waits) summary() []WaitSummary {
+func (w WaitHistograms) summary() []WaitSummary {
 	var all []WaitSummary
 	for _, c := range config.Classes {
 		h := w[c]
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -10,8 +10,8 @@
 	"chutereach/timeline"
 )
 
-// stopCall is a worker's Stop or Checkpoint.
-type stopCall func(context.Context, string, provider.AttemptCall) (provider.AttemptState, error)
+// stopFunc is a worker's Stop or Checkpoint.
+type stopFunc func(context.Context, string, provider.AttemptCall) (provider.AttemptState, error)
 
 const (
 	minPollBackoff = 100 * time.Millisecond
@@ -76,7 +76,7 @@
 	sure := u.deps.Sure()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	nudged := w.pollInterrupted
+	interrupted := w.pollInterrupted
 	w.pollInterrupted = false
 	if w.boot == "" {
 		return call, nil, false
@@ -84,7 +84,7 @@
 	now := time.Now()
 	from := earlier(now, sure)
 	call = provider.RenewCall{Boot: w.boot, Expires: now.Add(u.settings.CallTimeout), Seen: w.reportSeq, Wait: u.settings.ReportWait}
-	if !w.silentSince.IsZero() || nudged {
+	if !w.silentSince.IsZero() || interrupted {
 		call.Wait = 0 // request an immediate response
 	}
 	if expires, sure := u.ownerCallExpiry(now); sure && len(w.toForget) > 0 {
@@ -188,7 +188,7 @@
 		w.toForget = append(w.toForget, state.Attempt)
 		return
 	}
-	u.enqueueOrder(w, order{kind: orderStop, attempt: state.Attempt})
+	u.enqueueCall(w, workerCall{kind: callStop, attempt: state.Attempt})
 }
 
 // handleAttemptState updates a task from the state of its attempt on the worker. The
@@ -222,7 +222,7 @@
 	u.recordEvent(timeline.Event{Kind: timeline.TaskStarted, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Account: t.job.job.Account})
 	if t.job.job.Stopped {
 		t.phase = stopping
-		u.enqueueOrder(t.worker, order{kind: orderStop, attempt: t.attempt})
+		u.enqueueCall(t.worker, workerCall{kind: callStop, attempt: t.attempt})
 	}
 }
 
