--- a/hall/decide.go
+++ b/hall/decide.go
@@ -13,45 +13,45 @@
 	"chutereach/timeline"
 )
 
-// maxGranted bounds the grants that wait for their commit, so that a slow table
-// does not make the owner promise what it may never keep.
-const maxGranted = 4000
+// maxUncommittedGrants limits the grants whose commit is pending. Placement pauses
+// at the limit, so that a slow table does not build up an unbounded backlog.
+const maxUncommittedGrants = 4000
 
-// decideLoop places what waits whenever something has changed.
+// decideLoop runs a placement round on each signal on decideSignal.
 func (u *Unit) decideLoop() {
 	for {
 		select {
 		case <-u.ctx.Done():
 			return
-		case <-u.decideWake:
+		case <-u.decideSignal:
 			u.decide()
 		}
 	}
 }
 
-// refusedKey names tasks that are alike to every worker: what found no room
-// once in a round finds none in the rest of it.
-type refusedKey struct {
+// placementKey identifies tasks with the same placement requirements. If one of
+// them does not fit on any worker, the others are skipped for the rest of the round.
+type placementKey struct {
 	template string
 	revision uint64
 	need     resource.Amount
 }
 
-// decide offers every queued job once.
+// decide runs one placement round over the queued jobs.
 func (u *Unit) decide() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	refused := map[refusedKey]bool{}
+	unplaceable := map[placementKey]bool{}
 	var done []*jobState
 	u.queue.Round(time.Now(), func(j *jobState) queue.Verdict {
-		if u.granted >= maxGranted {
+		if u.uncommittedGrants >= maxUncommittedGrants {
 			return queue.Halt
 		}
 		if len(j.waiting) == 0 {
 			done = append(done, j)
 			return queue.Parked
 		}
-		return u.offer(j, refused)
+		return u.placeNext(j, unplaceable)
 	})
 	for _, j := range done {
 		u.queue.Remove(j)
@@ -59,40 +59,42 @@
 	}
 }
 
-// offer tries to place the next task of a job. The caller holds u.mu.
-func (u *Unit) offer(j *jobState, refused map[refusedKey]bool) queue.Verdict {
+// placeNext tries to place the next waiting task of a job. The caller holds u.mu.
+func (u *Unit) placeNext(j *jobState, unplaceable map[placementKey]bool) queue.Verdict {
 	u.Stats.Decisions++
-	key := refusedKey{j.job.Template.Name, j.job.Revision, j.job.Template.Need}
-	if refused[key] || u.overQuota(j) {
+	key := placementKey{j.job.Template.Name, j.job.Revision, j.job.Template.Need}
+	if unplaceable[key] || u.overQuota(j) {
 		return queue.Parked
 	}
 	t := j.tasks[j.waiting[0]]
-	info, found := u.choose(j)
+	info, found := u.chooseWorker(j)
 	if !found {
-		refused[key] = true
+		unplaceable[key] = true
 		return queue.Parked
 	}
 	if err := u.grant(t, u.workers[info.Name]); err != nil {
-		u.log.Error().Err(err).Msg("Index and ledger disagree.")
+		u.log.Error().Err(err).Msg("placement index and ledger disagree: ledger rejected the grant")
 		return queue.Parked
 	}
 	j.waiting = j.waiting[1:]
 	return queue.Placed
 }
 
-// overQuota reports whether one more task would take an account over its quota
-// in this unit. A quota that spans units is not shared out between them yet.
+// overQuota reports whether one more task of the job would exceed the account's
+// quota. Only usage in this unit counts, so an account can use up to its whole
+// quota in each unit.
 func (u *Unit) overQuota(j *jobState) bool {
 	quota := u.deps.Config().Set.Accounts[j.job.Account].Quota
 	return !quota.Allows(u.queue.Used(j.job.Account).Plus(j.job.Template.Need))
 }
 
-// choose returns the worker for the job's next task. The caller holds u.mu.
-func (u *Unit) choose(j *jobState) (provider.Worker, bool) {
+// chooseWorker selects a worker for the next task of a job by the scoring of the
+// job's policy. The caller holds u.mu.
+func (u *Unit) chooseWorker(j *jobState) (provider.Worker, bool) {
 	tm := &j.job.Template
 	ask := placement.Request{Need: tm.Need, Tolerations: tm.Tolerates, Affinity: tm.Affinity, AntiAffinity: tm.Avoid}
 	if tm.Form == config.FormService && len(j.tasks) > 1 {
-		ask.SiblingCounts = func(w provider.Worker) (int, int) { return j.crowd[w.Name], j.crowd[rackKey(w)] }
+		ask.Crowd = func(w provider.Worker) (int, int) { return j.replicaCounts[w.Name], j.replicaCounts[rackCountKey(w)] }
 	}
 	if j.job.Scoring == config.ScorePacking {
 		return placement.Choose(u.index, placement.BinPack{}, ask)
@@ -100,21 +102,23 @@
 	return placement.Choose(u.index, placement.Spread{}, ask)
 }
 
-// rackKey is a rack among a job's counts, which are kept by worker too.
-func rackKey(w provider.Worker) string { return "rack:" + w.Rack }
+// rackCountKey returns the key of a worker's rack in jobState.replicaCounts, which
+// also holds counts keyed by worker name.
+func rackCountKey(w provider.Worker) string { return "rack:" + w.Rack }
 
-// crowd counts a service's task on its worker and rack.
-func (u *Unit) crowd(t *taskState, n int) {
+// countReplica adds n to the replica counts of the task's worker and rack. It does
+// nothing for tasks that are not part of a service. The caller holds u.mu.
+func (u *Unit) countReplica(t *taskState, n int) {
 	if t.job.job.Template.Form != config.FormService {
 		return
 	}
 	w := t.worker.ledger.Worker()
-	t.job.crowd[w.Name] += n
-	t.job.crowd[rackKey(w)] += n
+	t.job.replicaCounts[w.Name] += n
+	t.job.replicaCounts[rackCountKey(w)] += n
 }
 
-// grant gives a task room on a worker, in memory; its commit is under way when
-// grant returns. The caller holds u.mu.
+// grant reserves capacity for a task on a worker in memory and schedules the
+// commit of the worker's ledger. The caller holds u.mu.
 func (u *Unit) grant(t *taskState, w *workerState) error {
 	tm := t.job.job.Template
 	id := t.task.Next()
@@ -127,71 +131,72 @@
 	u.reindex(w)
 	now := time.Now()
 	t.phase, t.attempt, t.grant, t.worker, t.endpoint = granting, g.Attempt, g, w, ""
-	t.until, t.startBy = time.Time{}, time.Time{}
+	t.leaseUntil, t.startExpires = time.Time{}, time.Time{}
 	t.task = t.task.WithStart(id.N, w.name(), now)
 	w.tasks[g.Attempt] = t
 	u.queue.Take(t.job.job.Account, tm.Need)
-	u.crowd(t, 1)
-	u.granted++
-	u.mark(w, change{then: func(uint64) { u.committed(t) }})
+	u.countReplica(t, 1)
+	u.uncommittedGrants++
+	u.markDirty(w, change{onCommit: func(uint64) { u.grantCommitted(t) }})
 	return nil
 }
 
-// committed orders the start of a task whose grant is in the table. The caller
-// holds u.mu.
-func (u *Unit) committed(t *taskState) {
-	u.granted--
+// grantCommitted starts a task after its grant has been committed, or releases the
+// grant if the job was stopped meanwhile. The caller holds u.mu.
+func (u *Unit) grantCommitted(t *taskState) {
+	u.uncommittedGrants--
 	u.Stats.Placed++
-	u.note(timeline.Event{Kind: timeline.TaskPlaced, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Account: t.job.job.Account})
+	u.recordEvent(timeline.Event{Kind: timeline.TaskPlaced, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Account: t.job.job.Account})
 	if t.job.job.Stopped {
 		u.release(t, t.task.WithStopped(time.Now()), true)
 		return
 	}
 	t.phase = starting
-	u.order(t.worker, order{kind: orderStart, attempt: t.attempt})
+	u.enqueueCall(t.worker, workerCall{kind: callStart, attempt: t.attempt})
 }
 
-// leave takes a task off its worker in memory. The caller holds u.mu and marks
-// the worker.
-func (u *Unit) leave(t *taskState) {
+// removeGrant removes the grant of a task from the worker's ledger in memory and
+// returns its capacity. The caller holds u.mu and must mark the ledger dirty.
+func (u *Unit) removeGrant(t *taskState) {
 	w := t.worker
 	next, err := w.ledger.WithRelease(t.attempt)
 	if err != nil {
-		u.log.Error().Err(err).Msg("Grant is missing.")
+		u.log.Error().Err(err).Msg("ledger has no grant for the attempt to release")
 		return
 	}
 	w.ledger = next
-	u.crowd(t, -1)
+	u.countReplica(t, -1)
 	u.queue.Give(t.job.job.Account, t.grant.Need)
 	u.reindex(w)
 }
 
-// release takes a task off its worker and records what became of it, in one
-// transaction; remember says if the task's row must be written. The worker is
-// told to forget the attempt only after that: a successor that found the grant
-// and a worker without memory of it would take the attempt for one that never
-// ran. The caller holds u.mu.
-func (u *Unit) release(t *taskState, next job.Task, remember bool) {
+// release removes the grant of a task and, if writeTask is set, writes the task's
+// row in the same transaction. The worker is told to forget the attempt only after
+// the commit: otherwise a new owner could find the grant on a worker that does not
+// list the attempt and conclude that it never ran. The caller holds u.mu.
+func (u *Unit) release(t *taskState, next job.Task, writeTask bool) {
 	w, attempt := t.worker, t.attempt
 	t.phase, t.endpoint = releasing, ""
-	u.leave(t)
-	c := change{then: func(version uint64) {
-		if remember {
+	u.removeGrant(t)
+	c := change{onCommit: func(version uint64) {
+		if writeTask {
 			t.version = version
 		}
 		delete(w.tasks, attempt)
-		w.forget = append(w.forget, attempt)
-		u.released(t, next)
+		w.toForget = append(w.toForget, attempt)
+		u.releaseCommitted(t, next)
 	}}
-	if remember {
+	if writeTask {
 		c.writes = []rowWrite{{key: next.Key(), version: t.version, value: next.Encode()}}
 	}
-	u.mark(w, c)
-	signal(u.decideWake)
+	u.markDirty(w, c)
+	notify(u.decideSignal)
 }
 
-// released goes on with a task whose room is free. The caller holds u.mu.
-func (u *Unit) released(t *taskState, next job.Task) {
+// releaseCommitted applies the next state of a task after its release has been
+// committed, and queues the task again if it is waiting. Retries are delayed by
+// retryDelay. The caller holds u.mu.
+func (u *Unit) releaseCommitted(t *taskState, next job.Task) {
 	t.task, t.phase, t.attempt, t.worker = next, idle, "", nil
 	if next.State.Final() {
 		u.countFinal(t.job)
@@ -200,8 +205,8 @@
 	if next.State != job.Waiting {
 		return
 	}
-	t.ready = time.Now()
-	if wait := retryPause(next.Failures + next.Reboots + t.refusals); wait > 0 {
+	t.waitingSince = time.Now()
+	if wait := retryDelay(next.Failures + next.Reboots + t.failedStarts); wait > 0 {
 		time.AfterFunc(wait, func() { u.requeue(t) })
 		return
 	}
@@ -209,19 +214,20 @@
 }
 
 const (
-	firstRetryPause = 200 * time.Millisecond
-	lastRetryPause  = time.Minute
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = time.Minute
 )
 
-// retryPause returns for how long a task waits that failed, or could not be
-// started, some times.
-func retryPause(failures int) time.Duration {
+// retryDelay returns the exponential backoff before a task is queued again after
+// the given number of failures, reboots and unsuccessful starts.
+func retryDelay(failures int) time.Duration {
 	if failures == 0 {
 		return 0
 	}
-	return min(firstRetryPause<<min(failures-1, 10), lastRetryPause)
+	return min(minRetryDelay<<min(failures-1, 10), maxRetryDelay)
 }
 
+// requeue queues a task again when its retry delay is over.
 func (u *Unit) requeue(t *taskState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/hall/inbox.go
+++ b/hall/inbox.go
@@ -8,117 +8,124 @@
 	"chutereach/timeline"
 )
 
-// Notify tells the unit that its inbox may have news. It is only a hint: the
-// inbox is read every Settings.Inbox all the same.
-func (u *Unit) Notify() { signal(u.inboxWake) }
+// Notify makes the unit read its inbox soon. It is only a hint: the inbox is also
+// read every Settings.InboxInterval.
+func (u *Unit) Notify() { notify(u.inboxSignal) }
 
-// inboxLoop moves jobs from the inbox, where any box puts them, to the unit.
+// inboxLoop moves submitted jobs from the unit's inbox, to which any box can write,
+// to the unit.
 func (u *Unit) inboxLoop() {
 	for u.ctx.Err() == nil {
 		n, err := u.readInbox()
 		if err != nil {
-			u.log.Warn().Err(err).Msg("Inbox cannot be read.")
+			u.log.Warn().Err(err).Msg("cannot read the inbox; trying again")
 		}
-		if n == inboxPage {
-			continue // there is more
+		if n == inboxPageSize {
+			continue // the inbox may hold more rows
 		}
-		t := time.NewTimer(u.set.Inbox)
+		t := time.NewTimer(u.settings.InboxInterval)
 		select {
 		case <-u.ctx.Done():
-		case <-u.inboxWake:
+		case <-u.inboxSignal:
 		case <-t.C:
 		}
 		t.Stop()
 	}
 }
 
-const inboxPage = 200
+const inboxPageSize = 200
 
+// readInbox processes one page of the inbox and returns its number of rows.
 func (u *Unit) readInbox() (int, error) {
-	page, err := u.deps.Sender.Table().Range(u.ctx, job.InboxPrefix(u.hold.Unit), "", inboxPage)
+	page, err := u.deps.Sender.Table().Range(u.ctx, job.InboxPrefix(u.hold.Unit), "", inboxPageSize)
 	if err != nil {
 		return 0, err
 	}
-	fresh := 0
+	accepted := 0
 	for _, row := range page {
-		if u.accept(row) {
-			fresh++
+		if u.acceptRow(row) {
+			accepted++
 		}
 	}
-	if len(page) == inboxPage && fresh == 0 {
-		u.pause(u.set.Inbox / 10) // all of them are on their way out
+	if len(page) == inboxPageSize && accepted == 0 {
+		u.sleep(u.settings.InboxInterval / 10) // the removal of these rows is not committed yet
 	}
 	return len(page), nil
 }
 
-// accept takes one job in, and moves its row out of the inbox in the same
-// transaction. It is queued once that has been committed.
-func (u *Unit) accept(row provider.Row) (fresh bool) {
+// acceptRow adds the job of an inbox row to the unit. One transaction writes the job
+// row and removes the inbox row; the job is queued after its commit. It reports
+// whether the job was new.
+func (u *Unit) acceptRow(row provider.Row) (accepted bool) {
 	j, err := job.Decode(row.Value)
 	if err != nil || j.ID.Unit() != u.hold.Unit {
-		u.log.Error().Err(err).Str("row", row.Key).Msg("Inbox row is no job of this unit.")
+		u.log.Error().Err(err).Str("row", row.Key).Msg("ignoring inbox row: not a valid job of this unit")
 		return false
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if known := u.jobs[j.ID]; known != nil {
-		u.dropCopy(known, row)
+		u.removeDuplicate(known, row)
 		return false
 	}
 	s := u.addJob(j, 0)
-	s.inbox = row.Version
-	u.write(change{
+	s.inboxVersion = row.Version
+	u.writeRows(change{
 		writes: []rowWrite{
 			{key: j.Key(), value: row.Value},
 			{key: row.Key, version: row.Version, remove: true},
 		},
-		then: func(version uint64) {
+		onCommit: func(version uint64) {
 			s.version = version
-			u.note(timeline.Event{Kind: timeline.JobAccepted, Job: string(j.ID), Account: j.Account})
+			u.recordEvent(timeline.Event{Kind: timeline.JobAccepted, Job: string(j.ID), Account: j.Account})
 			u.enqueueIdle(s)
 		},
 	})
 	return true
 }
 
-// dropCopy removes a row of a job that was moved already: a box whose insert had
-// no answer has sent it again after the move. The caller holds u.mu.
-func (u *Unit) dropCopy(j *jobState, row provider.Row) {
-	if j.inbox == row.Version {
-		return // on its way out, or gone since the inbox was read
+// removeDuplicate removes the inbox row of a job that has already been accepted. Such
+// a row appears when a box got no response to its insert and retries it after the
+// row was moved. The caller holds u.mu.
+func (u *Unit) removeDuplicate(j *jobState, row provider.Row) {
+	if j.inboxVersion == row.Version {
+		return // removal pending, or removed since the inbox was read
 	}
-	j.inbox = row.Version
-	u.write(change{writes: []rowWrite{{key: row.Key, version: row.Version, remove: true}}})
+	j.inboxVersion = row.Version
+	u.writeRows(change{writes: []rowWrite{{key: row.Key, version: row.Version, remove: true}}})
 }
 
-// purgeRows bounds what one sweep removes.
-const purgeRows = 200
+// maxPurgedRows is the number of rows after which purge leaves the rest to its next
+// run.
+const maxPurgedRows = 200
 
-// purge removes jobs that ended longer ago than Settings.Keep, with the rows of
-// their tasks.
+// purge removes jobs that ended more than Settings.JobRetention ago, together with
+// their task rows.
 func (u *Unit) purge() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now, n := time.Now(), 0
 	for id, j := range u.jobs {
-		if n >= purgeRows {
+		if n >= maxPurgedRows {
 			return
 		}
-		if j.final < len(j.tasks) || now.Sub(j.ended) < u.set.Keep || j.version == 0 {
+		if j.finalTasks < len(j.tasks) || now.Sub(j.endedAt) < u.settings.JobRetention || j.version == 0 {
 			continue
 		}
-		n += u.forgetJob(j)
+		n += u.deleteJob(j)
 		delete(u.jobs, id)
 	}
 }
 
-func (u *Unit) forgetJob(j *jobState) (rows int) {
+// deleteJob schedules the removal of the rows of a job and its tasks, and returns
+// their number. The caller holds u.mu.
+func (u *Unit) deleteJob(j *jobState) (rows int) {
 	c := change{writes: []rowWrite{{key: j.job.Key(), version: j.version, remove: true}}}
 	for _, t := range j.tasks {
 		if t.version != 0 {
 			c.writes = append(c.writes, rowWrite{key: t.task.Key(), version: t.version, remove: true})
 		}
 	}
-	u.write(c)
+	u.writeRows(c)
 	return len(c.writes)
 }
--- a/hall/operate.go
+++ b/hall/operate.go
@@ -8,13 +8,14 @@
 	"chutereach/timeline"
 )
 
-// NoJobError says that a unit has no such job.
+// NoJobError reports that no job with the given ID was found.
 type NoJobError struct{ ID job.ID }
 
 func (e *NoJobError) Error() string { return fmt.Sprintf("there is no job %q", string(e.ID)) }
 
-// StopJob makes a job run no more: what waits is not started, and what runs is
-// stopped. It returns once that is on its way.
+// StopJob stops a job: its waiting tasks are not started and its running tasks are
+// stopped. It returns as soon as the commit of the request is scheduled, and does
+// nothing if the job has been stopped before.
 func (u *Unit) StopJob(id job.ID) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -26,31 +27,34 @@
 		return nil
 	}
 	j.job = j.job.WithStopped()
-	u.write(change{
+	u.writeRows(change{
 		writes: []rowWrite{{key: j.job.Key(), version: j.version, value: j.job.Encode()}},
-		then: func(version uint64) {
+		onCommit: func(version uint64) {
 			j.version = version
-			u.stopTasks(j)
-			u.note(timeline.Event{Kind: timeline.JobStopped, Job: string(id), Account: j.job.Account})
+			u.stopJobTasks(j)
+			u.recordEvent(timeline.Event{Kind: timeline.JobStopped, Job: string(id), Account: j.job.Account})
 		},
 	})
 	return nil
 }
 
-func (u *Unit) stopTasks(j *jobState) {
+// stopJobTasks makes the waiting tasks of a stopped job final and schedules the
+// stop of its running ones. The caller holds u.mu.
+func (u *Unit) stopJobTasks(j *jobState) {
 	for _, i := range j.waiting {
-		u.finalize(j.tasks[i], j.tasks[i].task.WithStopped(time.Now()))
+		u.setFinal(j.tasks[i], j.tasks[i].task.WithStopped(time.Now()))
 	}
 	j.waiting = nil
 	for _, t := range j.tasks {
 		if t.phase == running {
 			t.phase = stopping
-			u.order(t.worker, order{kind: orderStop, attempt: t.attempt})
+			u.enqueueCall(t.worker, workerCall{kind: callStop, attempt: t.attempt})
 		}
 	}
 }
 
-// Settle gives an unknown task the state that an operator found it in.
+// Settle sets the outcome of a task in state unknown, as determined by an operator.
+// It returns as soon as the commit is scheduled.
 func (u *Unit) Settle(id job.ID, task int, s job.State) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -63,12 +67,12 @@
 	if err != nil {
 		return err
 	}
-	u.write(change{
+	u.writeRows(change{
 		writes: []rowWrite{{key: next.Key(), version: t.version, value: next.Encode()}},
-		then: func(version uint64) {
+		onCommit: func(version uint64) {
 			t.version = version
-			u.note(timeline.Event{Kind: timeline.TaskSettled, Job: string(id), Detail: string(s)})
-			u.released(t, next)
+			u.recordEvent(timeline.Event{Kind: timeline.TaskSettled, Job: string(id), Detail: string(s)})
+			u.releaseCommitted(t, next)
 		},
 	})
 	return nil
--- a/hall/orders.go
+++ b/hall/orders.go
@@ -9,104 +9,105 @@
 	"chutereach/timeline"
 )
 
-// orderKind is what a worker is told to do with an attempt.
-type orderKind int
+// callKind is the type of call to make for an attempt.
+type callKind int
 
 const (
-	orderStart orderKind = iota
-	orderStop
-	orderCheckpoint
+	callStart callKind = iota
+	callStop
+	callCheckpoint
 )
 
-// order is one call to make to a worker.
-type order struct {
-	kind    orderKind
+// workerCall is a pending call to a worker.
+type workerCall struct {
+	kind    callKind
 	attempt string
 }
 
-// order adds to a worker's orders. The caller holds u.mu.
-func (u *Unit) order(w *workerState, o order) {
-	w.orders = append(w.orders, o)
-	signal(w.wake)
+// enqueueCall appends a call to a worker's pending calls. The caller holds u.mu.
+func (u *Unit) enqueueCall(w *workerState, c workerCall) {
+	w.pendingCalls = append(w.pendingCalls, c)
+	notify(w.callSignal)
 }
 
-// orderLoop carries out a worker's orders, one after the other.
-func (u *Unit) orderLoop(w *workerState) {
+// callLoop makes the pending calls to a worker in sequence.
+func (u *Unit) callLoop(w *workerState) {
 	for {
 		select {
 		case <-u.ctx.Done():
 			return
-		case <-w.wake:
+		case <-w.callSignal:
 		}
 		for {
-			o, more := u.nextOrder(w)
+			c, more := u.nextCall(w)
 			if !more || u.ctx.Err() != nil {
 				break
 			}
-			u.carryOut(w, o)
+			u.makeCall(w, c)
 		}
 	}
 }
 
-func (u *Unit) nextOrder(w *workerState) (order, bool) {
+func (u *Unit) nextCall(w *workerState) (workerCall, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(w.orders) == 0 {
-		return order{}, false
+	if len(w.pendingCalls) == 0 {
+		return workerCall{}, false
 	}
-	o := w.orders[0]
-	w.orders = w.orders[1:]
-	return o, true
+	c := w.pendingCalls[0]
+	w.pendingCalls = w.pendingCalls[1:]
+	return c, true
 }
 
-func (u *Unit) carryOut(w *workerState, o order) {
-	switch o.kind {
-	case orderStart:
-		u.start(w, o.attempt)
-	case orderStop:
-		u.halt(w, o.attempt, u.deps.Workers.Stop)
-	case orderCheckpoint:
-		u.halt(w, o.attempt, u.deps.Workers.Checkpoint)
+func (u *Unit) makeCall(w *workerState, c workerCall) {
+	switch c.kind {
+	case callStart:
+		u.startAttempt(w, c.attempt)
+	case callStop:
+		u.stopAttempt(w, c.attempt, u.deps.Workers.Stop)
+	case callCheckpoint:
+		u.stopAttempt(w, c.attempt, u.deps.Workers.Checkpoint)
 	}
 }
 
-// start makes the start call of an attempt. Whatever the worker's answer leaves
-// open, its next report settles.
-func (u *Unit) start(w *workerState, attempt string) {
-	call, ok := u.startCall(w, attempt)
+// startAttempt makes the start call of an attempt. If the call fails and may still
+// have taken effect, the worker is polled once the call has expired, and its report
+// determines whether the attempt runs.
+func (u *Unit) startAttempt(w *workerState, attempt string) {
+	call, ok := u.newStartCall(w, attempt)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(u.ctx, u.set.Call)
+	ctx, cancel := context.WithTimeout(u.ctx, u.settings.CallTimeout)
 	defer cancel()
 	state, err := u.deps.Workers.Start(ctx, w.name(), call)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	t := w.tasks[attempt]
 	if t == nil || t.phase != starting {
-		return // a report was faster
+		return // a report was processed first
 	}
 	var refused *provider.RefusedError
 	switch {
 	case err == nil:
-		u.heardOf(w, t, state)
+		u.handleAttemptState(w, t, state)
 	case errors.As(err, &refused):
 		if refused.Reason == provider.RefusedBoot {
-			u.silence(w) // place nothing there until its next report
+			u.markSilent(w) // place no tasks on it until its next report
 		}
-		u.notRun(t, string(refused.Reason))
+		u.putBackNotRun(t, string(refused.Reason))
 	case provider.NotApplied(err):
-		u.notRun(t, err.Error())
+		u.putBackNotRun(t, err.Error())
 	default:
-		known := t.startBy.Add(u.set.ClockError + time.Millisecond)
-		time.AfterFunc(time.Until(known), func() { u.nudge(w) })
+		expired := t.startExpires.Add(u.settings.ClockError + time.Millisecond)
+		time.AfterFunc(time.Until(expired), func() { u.pollNow(w) })
 	}
 }
 
-// startCall makes the call, or says that this is not the time for one: an owner
-// that is not sure of its ownership starts nothing. The attempt is then put
-// back as not run, since no call for it was ever made.
-func (u *Unit) startCall(w *workerState, attempt string) (provider.StartCall, bool) {
+// newStartCall returns the start call of an attempt and whether to make it. An owner
+// whose ownership may have expired starts nothing; the task is then put back, since
+// no call was made for the attempt.
+func (u *Unit) newStartCall(w *workerState, attempt string) (provider.StartCall, bool) {
 	sure := u.deps.Sure()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -116,15 +117,15 @@
 	}
 	now := time.Now()
 	if !now.Before(sure) {
-		u.notRun(t, "ownership is not sure")
+		u.putBackNotRun(t, "the ownership of the unit may have expired")
 		return provider.StartCall{}, false
 	}
-	t.startBy = earlier(now.Add(u.set.Call), sure)
-	t.until = now.Add(t.grant.Lease)
+	t.startExpires = earlier(now.Add(u.settings.CallTimeout), sure)
+	t.leaseUntil = now.Add(t.grant.Lease)
 	return provider.StartCall{
-		// The boot of the grant, not the worker's newest: a worker that has booted
-		// since counts the attempt as over, and must not begin it.
-		Attempt: attempt, Boot: t.grant.Boot, Expires: t.startBy, Until: t.until,
+		// Use the boot ID of the grant, not the worker's current one: if the worker has
+		// rebooted since, the attempt counts as ended and must not be started.
+		Attempt: attempt, Boot: t.grant.Boot, Expires: t.startExpires, Until: t.leaseUntil,
 		Need: t.grant.Need, Command: t.job.job.Template.Command,
 		Params: t.job.job.Params, Checkpoint: t.task.Checkpoint,
 	}, true
@@ -137,63 +138,64 @@
 	return b
 }
 
-// surely returns the expiry for a call that only a unit's owner may make, and
-// whether this box is one for certain. An owner that was deposed while it was
-// paused, and does not know yet, must not stop what its successor has started,
-// nor have a worker forget what its successor has yet to hear.
-func (u *Unit) surely(now time.Time) (expires time.Time, sure bool) {
-	end := u.deps.Sure().Add(-u.set.ClockError)
-	return earlier(now.Add(u.set.Call), end), now.Before(end)
+// ownerCallExpiry returns the expiry for a stop or forget call, and whether this box
+// is still certain to own the unit. An owner that lost the unit while its process was
+// suspended must not stop attempts that the new owner started, nor make a worker
+// forget attempts whose outcome the new owner has not read yet.
+func (u *Unit) ownerCallExpiry(now time.Time) (expires time.Time, sure bool) {
+	end := u.deps.Sure().Add(-u.settings.ClockError)
+	return earlier(now.Add(u.settings.CallTimeout), end), now.Before(end)
 }
 
-// haltRetry is the pause before a stop that had no answer is ordered again.
-const haltRetry = time.Second
+// stopRetryInterval is the delay before a failed stop call is repeated.
+const stopRetryInterval = time.Second
 
-// halt stops an attempt by call and takes in the answer, which confirms that it
-// runs no more. A stop without an answer is ordered again, until a report or
-// the lapse of the lease settles the matter.
-func (u *Unit) halt(w *workerState, attempt string, call haltCall) {
+// stopAttempt stops an attempt by a Stop or Checkpoint call and processes the state
+// in the response. If the call fails, a Stop is repeated until a report or the
+// expiry of the lease shows that the attempt no longer runs.
+func (u *Unit) stopAttempt(w *workerState, attempt string, call stopFunc) {
 	u.mu.Lock()
 	boot := w.boot
-	_, there := w.tasks[attempt]
+	_, granted := w.tasks[attempt]
 	u.mu.Unlock()
-	expires, sure := u.surely(time.Now())
+	expires, sure := u.ownerCallExpiry(time.Now())
 	if !sure {
-		if there {
-			time.AfterFunc(haltRetry, func() { u.haltAgain(w, attempt) })
+		if granted {
+			time.AfterFunc(stopRetryInterval, func() { u.retryStop(w, attempt) })
 		}
 		return
 	}
 	c := provider.AttemptCall{Attempt: attempt, Boot: boot, Expires: expires}
-	ctx, cancel := context.WithTimeout(u.ctx, u.set.Call)
+	ctx, cancel := context.WithTimeout(u.ctx, u.settings.CallTimeout)
 	defer cancel()
 	state, err := call(ctx, w.name(), c)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	t := w.tasks[attempt]
 	if err == nil && t != nil {
-		u.heardOf(w, t, state)
+		u.handleAttemptState(w, t, state)
 		return
 	}
-	if err != nil && there && t != nil && t.phase == stopping {
-		time.AfterFunc(haltRetry, func() { u.haltAgain(w, attempt) })
+	if err != nil && granted && t != nil && t.phase == stopping {
+		time.AfterFunc(stopRetryInterval, func() { u.retryStop(w, attempt) })
 	}
 }
 
-func (u *Unit) haltAgain(w *workerState, attempt string) {
+// retryStop schedules another Stop if the attempt has not ended yet.
+func (u *Unit) retryStop(w *workerState, attempt string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if t := w.tasks[attempt]; t != nil && t.phase == stopping && u.ctx.Err() == nil {
-		u.order(w, order{kind: orderStop, attempt: attempt})
+		u.enqueueCall(w, workerCall{kind: callStop, attempt: attempt})
 	}
 }
 
-// notRun puts back a task whose attempt surely never ran. The caller holds
-// u.mu.
-func (u *Unit) notRun(t *taskState, why string) {
+// putBackNotRun releases a task whose attempt is known never to have started. The
+// task waits again, or is final if its job was stopped. The caller holds u.mu.
+func (u *Unit) putBackNotRun(t *taskState, why string) {
 	u.Stats.NotRun++
-	t.refusals++
-	u.note(timeline.Event{Kind: timeline.TaskNotRun, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Detail: why})
+	t.failedStarts++
+	u.recordEvent(timeline.Event{Kind: timeline.TaskNotRun, Job: string(t.job.job.ID), Attempt: t.attempt, Worker: t.worker.name(), Detail: why})
 	next := t.task.WithoutStart(time.Now())
 	if t.job.job.Stopped {
 		next = t.task.WithStopped(time.Now())
--- a/hall/waits.go
+++ b/hall/waits.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	longestWait = int64(24 * time.Hour / time.Microsecond)
-	waitDigits  = 3
+	maxWait               = int64(24 * time.Hour / time.Microsecond)
+	waitSignificantDigits = 3
 )
 
-// Waits keeps how long tasks waited from the moment they were due until they
-// ran, by class, in microseconds.
-type Waits map[config.Class]*hdrhistogram.Histogram
+// WaitHistograms holds a histogram per class of the time in microseconds from the
+// moment a task could have run to the report that it runs.
+type WaitHistograms map[config.Class]*hdrhistogram.Histogram
 
-func (w *Waits) record(c config.Class, d time.Duration) {
+func (w *WaitHistograms) record(c config.Class, d time.Duration) {
 	if *w == nil {
-		*w = Waits{}
+		*w = WaitHistograms{}
 	}
 	h := (*w)[c]
 	if h == nil {
-		h = hdrhistogram.New(1, longestWait, waitDigits)
+		h = hdrhistogram.New(1, maxWait, waitSignificantDigits)
 		(*w)[c] = h
 	}
-	h.RecordValue(min(max(d.Microseconds(), 1), longestWait))
+	h.RecordValue(min(max(d.Microseconds(), 1), maxWait))
 }
 
-// WaitSummary is the waits of one class.
+// WaitSummary summarizes the wait times of one class.
 type WaitSummary struct {
 	Class config.Class  `json:"class" cbor:"1,keyasint"`
 	Count int64         `json:"count" cbor:"2,keyasint"`
@@ -38,7 +38,7 @@
 	Max   time.Duration `json:"max" cbor:"5,keyasint"`
 }
 
-func (w Waits) summary() []WaitSummary {
+func (w WaitHistograms) summary() []WaitSummary {
 	var all []WaitSummary
 	for _, c := range config.Classes {
 		h := w[c]
