--- a/hall/decide.go
+++ b/hall/decide.go
@@ -94,7 +94,7 @@
 	tm := &j.job.Template
 	ask := placement.Request{Need: tm.Need, Tolerations: tm.Tolerates, Affinity: tm.Affinity, AntiAffinity: tm.Avoid}
 	if tm.Form == config.FormService && len(j.tasks) > 1 {
-		ask.Crowd = func(w provider.Worker) (int, int) { return j.replicaCounts[w.Name], j.replicaCounts[rackCountKey(w)] }
+		ask.SiblingCounts = func(w provider.Worker) (int, int) { return j.replicaCounts[w.Name], j.replicaCounts[rackCountKey(w)] }
 	}
 	if j.job.Scoring == config.ScorePacking {
 		return placement.Choose(u.index, placement.BinPack{}, ask)
