--- a/hall/bench_test.go
+++ b/hall/bench_test.go
@@ -21,17 +21,18 @@
 	"chutereach/timeline"
 )
 
-// The target's share of one hall: 4,100 workers and 100,000 tasks in 11 halls.
+// One hall's share of a deployment with 4,100 workers and 100,000 tasks in 11 halls,
+// and the latency and rate limit of its table.
 const (
 	hallWorkers  = 373
 	hallTasks    = 9100
 	tableLatency = 5 * time.Millisecond
-	tableRate    = 200 // transactions a second
+	tableRate    = 200 // transactions per second
 )
 
-// benchPlatform returns a stand-in with a hall's workers and a table as slow as
-// the target allows for.
-func benchPlatform(workers int) (*standin.Table, *standin.Fleet) {
+// benchmarkPlatform returns a table with a latency of tableLatency and a fleet of
+// workers.
+func benchmarkPlatform(workers int) (*standin.Table, *standin.Fleet) {
 	table, fleet := standin.NewTable(), standin.NewFleet()
 	for i := range workers {
 		fleet.Add(provider.Worker{
@@ -43,7 +44,7 @@
 	return table, fleet
 }
 
-func benchConfig() config.Revision {
+func benchmarkConfig() config.Revision {
 	set := config.NewSet()
 	set.Halls["h"] = config.Hall{Name: "h", Units: 1}
 	set.Policies["p"] = config.Policy{Name: "p", Scoring: config.ScoreWaiting}
@@ -56,44 +57,44 @@
 	return config.Revision{Number: 1, Set: set}
 }
 
-func benchDeps(table provider.Table, fleet *standin.Fleet, rev config.Revision) Deps {
+func benchmarkDeps(table provider.Table, fleet *standin.Fleet, rev config.Revision) Deps {
 	return Deps{
 		Workers: fleet, Boxes: &standin.BoxList{}, Sender: commit.NewSender(table, rate.NewLimiter(tableRate, 1)),
-		Sure:   func() time.Time { return time.Now().Add(testSure) },
+		Sure:   func() time.Time { return time.Now().Add(testOwnershipTTL) },
 		Config: func() config.Revision { return rev },
 		Events: timeline.NewRing("box", &timeline.Clock{}, 1000), Log: zerolog.Nop(),
 	}
 }
 
-// benchUnit owns the hall's unit and waits until every worker was heard of.
-func benchUnit(b *testing.B, table *standin.Table, fleet *standin.Fleet, rev config.Revision, set Settings) *Unit {
+// startBenchmarkUnit runs the hall's unit and waits until all its workers are open.
+func startBenchmarkUnit(b *testing.B, table *standin.Table, fleet *standin.Fleet, rev config.Revision, set Settings) *Unit {
 	b.Helper()
 	version, err := table.Commit(context.Background(), provider.Txn{ID: "own"}.Put(control.UnitKey("h"), 0, nil))
 	if err != nil {
 		b.Fatal(err)
 	}
-	u := New(ownership.Hold{Unit: "h", Epoch: 1, Version: version, Before: time.Now()}, set, benchDeps(table, fleet, rev))
+	u := New(ownership.Hold{Unit: "h", Epoch: 1, Version: version, Before: time.Now()}, set, benchmarkDeps(table, fleet, rev))
 	go u.Run()
-	await(func() bool {
-		open := 0
+	waitUntil(func() bool {
+		ready := 0
 		for _, w := range u.Workers() {
 			if w.State == WorkerOpen {
-				open++
+				ready++
 			}
 		}
-		return open > 0 && open == len(u.Workers())
+		return ready > 0 && ready == len(u.Workers())
 	})
 	return u
 }
 
-func await(done func() bool) {
+func waitUntil(done func() bool) {
 	for !done() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// insert puts jobs into the inbox without the table's delay.
-func insert(b *testing.B, table *standin.Table, rev config.Revision, template string, jobs, tasks int) {
+// submitJobs commits jobs to the inbox without the latency of the table.
+func submitJobs(b *testing.B, table *standin.Table, rev config.Revision, template string, jobs, tasks int) {
 	b.Helper()
 	table.Faults.Clear()
 	defer table.Faults.Always(standin.Fault{Delay: tableLatency})
@@ -108,22 +109,22 @@
 	}
 }
 
-func (u *Unit) placed() int64 {
+func (u *Unit) placedTasks() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.Stats.Placed
 }
 
-func (u *Unit) begun() int64 {
+func (u *Unit) startedTasks() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.Stats.Started
 }
 
-// BenchmarkCommittedPlacements measures placements that are in the table, at
-// 5 ms and 200 transactions a second. The baseline commits each by itself.
+// BenchmarkCommittedPlacements measures committed placements per second. The baseline
+// "single" commits each placement in its own transaction.
 func BenchmarkCommittedPlacements(b *testing.B) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name  string
 		rows  int
 		tasks int
@@ -131,57 +132,59 @@
 		{"group", Defaults.BatchRows, hallTasks},
 		{"single", 1, 400},
 	} {
-		b.Run(c.name, func(b *testing.B) {
-			var took time.Duration
+		b.Run(tc.name, func(b *testing.B) {
+			var elapsed time.Duration
 			for range b.N {
-				table, fleet := benchPlatform(hallWorkers)
-				rev, set := benchConfig(), Defaults
-				set.BatchRows = c.rows
-				u := benchUnit(b, table, fleet, rev, set)
-				begin := time.Now()
-				insert(b, table, rev, "long", 1, c.tasks)
+				table, fleet := benchmarkPlatform(hallWorkers)
+				rev, set := benchmarkConfig(), Defaults
+				set.BatchRows = tc.rows
+				u := startBenchmarkUnit(b, table, fleet, rev, set)
+				start := time.Now()
+				submitJobs(b, table, rev, "long", 1, tc.tasks)
 				u.Notify()
-				await(func() bool { return u.placed() == int64(c.tasks) })
-				took += time.Since(begin)
+				waitUntil(func() bool { return u.placedTasks() == int64(tc.tasks) })
+				elapsed += time.Since(start)
 				u.Stop()
 				fleet.Close()
 			}
-			b.ReportMetric(float64(b.N*c.tasks)/took.Seconds(), "placements/s")
+			b.ReportMetric(float64(b.N*tc.tasks)/elapsed.Seconds(), "placements/s")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// BenchmarkRunningTask measures what a running task costs in memory.
+// BenchmarkRunningTask measures the memory that the unit holds for a running task and
+// the allocations to start it.
 func BenchmarkRunningTask(b *testing.B) {
 	for range b.N {
-		table, fleet := benchPlatform(hallWorkers)
-		rev := benchConfig()
-		u := benchUnit(b, table, fleet, rev, Defaults)
-		before, allocs := heapInUse(), mallocs()
-		insert(b, table, rev, "long", hallTasks/10, 10)
+		table, fleet := benchmarkPlatform(hallWorkers)
+		rev := benchmarkConfig()
+		u := startBenchmarkUnit(b, table, fleet, rev, Defaults)
+		heapBefore, mallocsBefore := heapAlloc(), mallocs()
+		submitJobs(b, table, rev, "long", hallTasks/10, 10)
 		u.Notify()
-		await(func() bool { return u.begun() == hallTasks })
-		all := heapInUse() - before
-		b.ReportMetric(float64(mallocs()-allocs)/hallTasks, "allocs/start")
+		waitUntil(func() bool { return u.startedTasks() == hallTasks })
+		total := heapAlloc() - heapBefore
+		b.ReportMetric(float64(mallocs()-mallocsBefore)/hallTasks, "allocs/start")
 		u.Stop()
-		// What the stand-in holds for its side stays when the owner has gone.
+		// Release the unit: what remains is the memory of the simulated platform.
 		*u = Unit{}
-		owned := all - (heapInUse() - before)
-		b.ReportMetric(float64(owned)/hallTasks, "B/task")
+		unitBytes := total - (heapAlloc() - heapBefore)
+		b.ReportMetric(float64(unitBytes)/hallTasks, "B/task")
 		b.ReportMetric(0, "ns/op")
 		fleet.Close()
 	}
 }
 
-// mallocs returns how many objects were allocated so far, by the stand-in too.
+// mallocs returns the number of objects allocated so far, those of the simulated
+// platform included.
 func mallocs() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.Mallocs
 }
 
-func heapInUse() int64 {
+func heapAlloc() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -189,35 +192,35 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkTableWrites measures an owner's transactions and rows a second, idle
-// and at its hall's share of 300 starts a second, and at all 300.
+// BenchmarkTableWrites measures an owner's table requests and rows per second: idle, at
+// its hall's share of 300 starts per second, and at all 300.
 func BenchmarkTableWrites(b *testing.B) {
-	const span = 4 * time.Second
+	const period = 4 * time.Second
 	for _, perSecond := range []int{0, 27, 300} {
 		b.Run(fmt.Sprintf("%d starts", perSecond), func(b *testing.B) {
 			for range b.N {
-				table, fleet := benchPlatform(hallWorkers)
-				rev := benchConfig()
-				u := benchUnit(b, table, fleet, rev, Defaults)
+				table, fleet := benchmarkPlatform(hallWorkers)
+				rev := benchmarkConfig()
+				u := startBenchmarkUnit(b, table, fleet, rev, Defaults)
 				commits, reads := table.Commits.Load(), table.Reads.Load()
 				rows := u.Summary().Rows
-				begin := time.Now()
-				for i := 0; time.Since(begin) < span; i++ {
+				start := time.Now()
+				for i := 0; time.Since(start) < period; i++ {
 					if perSecond > 0 {
-						insert(b, table, rev, "short", 1, max(perSecond/10, 1))
+						submitJobs(b, table, rev, "short", 1, max(perSecond/10, 1))
 						u.Notify()
 					}
-					time.Sleep(time.Until(begin.Add(time.Duration(i+1) * 100 * time.Millisecond)))
+					time.Sleep(time.Until(start.Add(time.Duration(i+1) * 100 * time.Millisecond)))
 				}
 				u.Stop()
 				inserts := int64(0)
 				if perSecond > 0 {
-					inserts = int64(span / (100 * time.Millisecond))
+					inserts = int64(period / (100 * time.Millisecond))
 				}
 				u.summed = time.Time{}
-				b.ReportMetric(float64(table.Commits.Load()-commits-inserts)/span.Seconds(), "txn/s")
-				b.ReportMetric(float64(table.Reads.Load()-reads)/span.Seconds(), "reads/s")
-				b.ReportMetric(float64(u.Summary().Rows-rows)/span.Seconds(), "rows/s")
+				b.ReportMetric(float64(table.Commits.Load()-commits-inserts)/period.Seconds(), "txn/s")
+				b.ReportMetric(float64(table.Reads.Load()-reads)/period.Seconds(), "reads/s")
+				b.ReportMetric(float64(u.Summary().Rows-rows)/period.Seconds(), "rows/s")
 				b.ReportMetric(0, "ns/op")
 				fleet.Close()
 			}
@@ -225,70 +228,70 @@
 	}
 }
 
-// takeoverBox is a box that may take the hall over.
+// takeoverBox is a box that is able to take over the hall.
 type takeoverBox struct {
-	keeper *ownership.Keeper
-	deps   Deps
-	unit   chan *Unit
-	owned  time.Time
-	cancel context.CancelFunc
-	own    *Unit
+	manager *ownership.Keeper
+	deps    Deps
+	units   chan *Unit
+	ownedAt time.Time
+	cancel  context.CancelFunc
+	current *Unit
 }
 
 // Own implements ownership.Owner.
 func (t *takeoverBox) Own(h ownership.Hold) {
-	t.owned = time.Now()
-	t.own = New(h, Defaults, t.deps)
-	go t.own.Run()
-	t.unit <- t.own
+	t.ownedAt = time.Now()
+	t.current = New(h, Defaults, t.deps)
+	go t.current.Run()
+	t.units <- t.current
 }
 
 // Disown implements ownership.Owner.
 func (t *takeoverBox) Disown(string) time.Time {
-	t.own.cancel(errDisowned)
+	t.current.cancel(errDisowned)
 	return time.Now()
 }
 
 func newTakeoverBox(name string, table *standin.Table, fleet *standin.Fleet, rev config.Revision) *takeoverBox {
-	t := &takeoverBox{unit: make(chan *Unit, 1), deps: benchDeps(table, fleet, rev)}
+	t := &takeoverBox{units: make(chan *Unit, 1), deps: benchmarkDeps(table, fleet, rev)}
 	self := control.BoxRow{Incarnation: control.NewIncarnation(name)}
 	times := ownership.Settings{Beat: time.Second, Lapse: 3 * time.Second}
-	t.keeper = ownership.New(self, times, t.deps.Sender, t, zerolog.Nop())
-	t.keeper.SetUnits([]string{"h"})
-	t.deps.Sure = t.keeper.Sure
+	t.manager = ownership.New(self, times, t.deps.Sender, t, zerolog.Nop())
+	t.manager.SetUnits([]string{"h"})
+	t.deps.Sure = t.manager.Sure
 	ctx, cancel := context.WithCancel(context.Background())
 	t.cancel = cancel
-	go t.keeper.Run(ctx)
+	go t.manager.Run(ctx)
 	return t
 }
 
-// BenchmarkTakeover measures a hall's way from its owner's death to the first
-// placement by the successor, at the daemon's default times.
+// BenchmarkTakeover measures the time from the crash of a hall's owner to the first
+// placement by its successor, with the default heartbeat settings.
 func BenchmarkTakeover(b *testing.B) {
 	var lapse, load, place time.Duration
 	for range b.N {
-		table, fleet := benchPlatform(hallWorkers)
-		rev := benchConfig()
+		table, fleet := benchmarkPlatform(hallWorkers)
+		rev := benchmarkConfig()
 		first := newTakeoverBox("box-1", table, fleet, rev)
-		u := <-first.unit
-		insert(b, table, rev, "long", hallTasks/10, 10)
-		await(func() bool { return u.begun() == hallTasks })
+		u := <-first.units
+		submitJobs(b, table, rev, "long", hallTasks/10, 10)
+		waitUntil(func() bool { return u.startedTasks() == hallTasks })
 		second := newTakeoverBox("box-2", table, fleet, rev)
-		time.Sleep(4 * time.Second) // until it counts as settled
-		insert(b, table, rev, "long", 1, 1)
+		time.Sleep(4 * time.Second) // until the second box is eligible to own units
+		submitJobs(b, table, rev, "long", 1, 1)
 		first.cancel()
 		u.cancel(errDisowned)
-		died := time.Now()
-		insert(b, table, rev, "long", 1, 1)
-		next := <-second.unit
-		await(func() bool { return next.Summary().Ready })
-		ready := time.Now()
-		await(func() bool { return next.placed() > 0 })
-		lapse += second.owned.Sub(died)
-		load += ready.Sub(second.owned)
-		place += time.Since(ready)
+		diedAt := time.Now()
+		submitJobs(b, table, rev, "long", 1, 1)
+		successor := <-second.units
+		waitUntil(func() bool { return successor.Summary().Ready })
+		readyAt := time.Now()
+		waitUntil(func() bool { return successor.placedTasks() > 0 })
+		lapse += second.ownedAt.Sub(diedAt)
+		load += readyAt.Sub(second.ownedAt)
+		place += time.Since(readyAt)
 		second.cancel()
-		next.Stop()
+		successor.Stop()
 		fleet.Close()
 	}
 	n := float64(b.N)
--- a/hall/crash_test.go
+++ b/hall/crash_test.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// A task that makes its worker reboot takes all that runs there along, each time. It is given
-// up after three workers in a row; a task that a reboot ends now and then is not.
-func TestATaskThatMakesItsWorkersReboot(t *testing.T) {
+// A task whose worker reboots soon after each start fails after three starts, since
+// every reboot also ends the other tasks there. Occasional reboots do not fail it.
+func TestTaskRebootingItsWorker(t *testing.T) {
 	cases := []struct {
-		name  string
-		every time.Duration
-		want  string
-		most  int64 // starts
+		name      string
+		interval  time.Duration
+		want      string
+		maxStarts int64
 	}{
-		{"as soon as it has begun", 5 * time.Second, "failed:1", 3},
-		{"each five minutes of work", 5 * time.Minute, "running:1", 9},
+		{"shortly after each start", 5 * time.Second, "failed:1", 3},
+		{"after five minutes of work", 5 * time.Minute, "running:1", 9},
 	}
-	for _, test := range cases {
-		t.Run(test.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, 1)
+				b := newTestBench(t, 1)
 				defer b.close()
-				b.template("long", "sleep 1h", "always")
-				u := b.own()
+				b.addTemplate("long", "sleep 1h", "always")
+				u := b.startOwner()
 				time.Sleep(time.Second)
 				id := b.submit("long", 1)
 				for range 8 {
-					time.Sleep(test.every)
+					time.Sleep(tc.interval)
 					b.fleet.Reboot("w00")
 				}
 				time.Sleep(time.Second / 2)
-				if got := b.counts(u, id); got != test.want {
-					t.Errorf("the task is %s, want %s", got, test.want)
+				if got := b.taskCounts(u, id); got != tc.want {
+					t.Errorf("tasks by state: %s, want %s", got, tc.want)
 				}
-				if got := u.begun(); got > test.most {
-					t.Errorf("%d starts, want %d at most", got, test.most)
+				if got := u.startedTasks(); got > tc.maxStarts {
+					t.Errorf("task was started %d times, want at most %d", got, tc.maxStarts)
 				}
 			})
 		})
--- a/hall/planned_test.go
+++ b/hall/planned_test.go
@@ -11,9 +11,9 @@
 	"chutereach/provider"
 )
 
-// downMost looks at a service all the time for d and returns the most replicas
-// that were not running at once.
-func (b *bench) downMost(u *Unit, id job.ID, d time.Duration) (most int) {
+// maxDown polls a service for d and returns the largest number of replicas that were
+// not running at the same time.
+func (b *testBench) maxDown(u *Unit, id job.ID, d time.Duration) (most int) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		s, _ := u.Job(id)
 		most = max(most, s.Job.Tasks-s.Counts[job.Running])
@@ -21,68 +21,68 @@
 	return most
 }
 
-func (b *bench) configure(u *Unit, change func(*config.Set)) {
+func (b *testBench) updateConfig(u *Unit, change func(*config.Set)) {
 	b.mu.Lock()
-	b.rev.Number++
-	b.rev.Set.Templates = maps.Clone(b.rev.Set.Templates)
-	change(&b.rev.Set)
+	b.revision.Number++
+	b.revision.Set.Templates = maps.Clone(b.revision.Set.Templates)
+	change(&b.revision.Set)
 	b.mu.Unlock()
 	u.Configured()
 }
 
-func TestReplicasRollWithinTheirBound(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		down   int
-		change func(*bench, *config.Set)
-		moved  func(*bench, *Unit, job.ID) bool
+func TestReplicaMovesRespectDownLimit(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		down     int
+		change   func(*testBench, *config.Set)
+		complete func(*testBench, *Unit, job.ID) bool
 	}{
-		{"new command, one at a time", 1, newCommand, rolled},
-		{"new command, two at a time", 2, newCommand, rolled},
-		{"drained worker", 1, func(_ *bench, s *config.Set) {
+		{"new command, one at a time", 1, changeCommand, allUpdated},
+		{"new command, two at a time", 2, changeCommand, allUpdated},
+		{"drained worker", 1, func(_ *testBench, s *config.Set) {
 			*s = s.WithDrain(config.Drain{Target: config.TargetWorker, Name: "w00"})
-		}, func(b *bench, u *Unit, _ job.ID) bool { return tasksOn(u, "w00") == 0 }},
-		{"worker is leaving, says the platform", 1, func(b *bench, _ *config.Set) {
+		}, func(b *testBench, u *Unit, _ job.ID) bool { return tasksOn(u, "w00") == 0 }},
+		{"worker reported as leaving", 1, func(b *testBench, _ *config.Set) {
 			b.boxes.Set(provider.Box{Name: "w00", State: provider.BoxLeaving})
-		}, func(b *bench, u *Unit, _ job.ID) bool { return tasksOn(u, "w00") == 0 }},
-		{"drained rack", 1, func(_ *bench, s *config.Set) {
+		}, func(b *testBench, u *Unit, _ job.ID) bool { return tasksOn(u, "w00") == 0 }},
+		{"drained rack", 1, func(_ *testBench, s *config.Set) {
 			*s = s.WithDrain(config.Drain{Target: config.TargetRack, Name: "r0"})
-		}, func(b *bench, u *Unit, _ job.ID) bool { return tasksOn(u, "w00")+tasksOn(u, "w05") == 0 }},
+		}, func(b *testBench, u *Unit, _ job.ID) bool { return tasksOn(u, "w00")+tasksOn(u, "w05") == 0 }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, 9)
+				b := newTestBench(t, 9)
 				defer b.close()
-				u := b.own()
-				tm := b.rev.Set.Templates["replica"]
-				tm.Down = c.down
-				b.rev.Set.Templates["replica"] = tm
+				u := b.startOwner()
+				template := b.revision.Set.Templates["replica"]
+				template.Down = tc.down
+				b.revision.Set.Templates["replica"] = template
 				id := b.submit("replica", 8)
 				time.Sleep(10 * time.Second)
-				b.configure(u, func(s *config.Set) { c.change(b, s) })
-				if most := b.downMost(u, id, 2*time.Minute); most > c.down {
-					t.Errorf("%d replicas were down at once, %d are allowed", most, c.down)
+				b.updateConfig(u, func(s *config.Set) { tc.change(b, s) })
+				if down := b.maxDown(u, id, 2*time.Minute); down > tc.down {
+					t.Errorf("%d replicas were down at once, want at most %d", down, tc.down)
 				}
-				if got := b.counts(u, id); got != "running:8" {
-					t.Errorf("replicas are %s", got)
+				if got := b.taskCounts(u, id); got != "running:8" {
+					t.Errorf("replicas by state: %s, want running:8", got)
 				}
-				if !c.moved(b, u, id) {
-					t.Error("some have not moved")
+				if !tc.complete(b, u, id) {
+					t.Error("not every replica was moved or updated")
 				}
-				b.kept()
+				b.checkInvariants()
 			})
 		})
 	}
 }
 
-func newCommand(_ *bench, s *config.Set) {
-	tm := s.Templates["replica"]
-	tm.Command = "serve 9ms"
-	s.Templates["replica"] = tm
+func changeCommand(_ *testBench, s *config.Set) {
+	template := s.Templates["replica"]
+	template.Command = "serve 9ms"
+	s.Templates["replica"] = template
 }
 
-// rolled reports whether every replica was started under the newest revision.
-func rolled(_ *bench, u *Unit, id job.ID) bool {
+// allUpdated reports whether every replica runs the latest revision of its job.
+func allUpdated(_ *testBench, u *Unit, id job.ID) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, t := range u.jobs[id].tasks {
@@ -102,104 +102,104 @@
 	return 0
 }
 
-// Work on a drained worker: what can be resumed moves, what may not be repeated
-// runs to its end, and nothing new comes.
-func TestDrainMovesWhatItMay(t *testing.T) {
+// Draining a worker moves tasks that can resume from a checkpoint, lets tasks that
+// must not be repeated finish, and starts no new ones there.
+func TestDrainMovesResumableTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2)
+		b := newTestBench(t, 2)
 		defer b.close()
-		u := b.own()
+		u := b.startOwner()
 		resume, once := b.submit("resume", 4), b.submit("once", 4)
 		time.Sleep(4 * time.Second)
-		b.configure(u, func(s *config.Set) {
+		b.updateConfig(u, func(s *config.Set) {
 			*s = s.WithDrain(config.Drain{Target: config.TargetWorker, Name: "w00"})
 		})
 		time.Sleep(2 * time.Minute)
 		for _, id := range []job.ID{resume, once} {
-			if got := b.counts(u, id); got != "done:4" {
-				t.Errorf("%s is %s", id, got)
+			if got := b.taskCounts(u, id); got != "done:4" {
+				t.Errorf("job %s: tasks by state: %s, want done:4", id, got)
 			}
 		}
-		b.onceOnly(once)
-		b.kept()
+		b.checkStartedAtMostOnce(once)
+		b.checkInvariants()
 		if n := tasksOn(u, "w00"); n != 0 {
-			t.Errorf("%d tasks are on the drained worker", n)
+			t.Errorf("%d tasks on the drained worker, want 0", n)
 		}
 	})
 }
 
-func TestOperatorsWord(t *testing.T) {
-	for _, c := range []struct {
-		word job.State
-		want string
+func TestSettleUnknownTask(t *testing.T) {
+	for _, tc := range []struct {
+		state job.State
+		want  string
 	}{
 		{job.Done, "done:1"},
 		{job.Failed, "failed:1"},
-		{job.Waiting, "done:1"}, // started once more
+		{job.Waiting, "done:1"}, // the task is started again
 	} {
-		t.Run(string(c.word), func(t *testing.T) {
+		t.Run(string(tc.state), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, 1)
+				b := newTestBench(t, 1)
 				defer b.close()
-				u := b.own()
+				u := b.startOwner()
 				id := b.submit("once", 1)
 				time.Sleep(4 * time.Second)
 				b.fleet.Reboot("w00")
 				time.Sleep(time.Minute)
-				if got := b.counts(u, id); got != "unknown:1" {
-					t.Fatalf("after the reboot the task is %s", got)
+				if got := b.taskCounts(u, id); got != "unknown:1" {
+					t.Fatalf("tasks by state after the reboot: %s, want unknown:1", got)
 				}
-				if err := u.Settle(id, 0, c.word); err != nil {
+				if err := u.Settle(id, 0, tc.state); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Minute)
-				if got := b.counts(u, id); got != c.want {
-					t.Errorf("the task is %s, want %s", got, c.want)
+				if got := b.taskCounts(u, id); got != tc.want {
+					t.Errorf("tasks by state: %s, want %s", got, tc.want)
 				}
-				if err := u.Settle(id, 0, c.word); err == nil {
-					t.Error("a settled task was settled again")
+				if err := u.Settle(id, 0, tc.state); err == nil {
+					t.Error("settling a settled task succeeded, want an error")
 				}
 			})
 		})
 	}
 }
 
-func TestStoppedJobRunsNoMore(t *testing.T) {
+func TestStoppedJobStaysStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		b := newTestBench(t, 1)
 		defer b.close()
-		u := b.own()
-		id := b.submit("again", 10) // four at a time
+		u := b.startOwner()
+		id := b.submit("again", 10) // of which four fit the worker at once
 		time.Sleep(3 * time.Second)
 		if err := u.StopJob(id); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
 		if n := b.fleet.Witness.Running(); n != 0 {
-			t.Errorf("%d tasks run", n)
+			t.Errorf("%d tasks are running after the job was stopped, want 0", n)
 		}
 		b.kill(u)
-		u = b.own() // a successor does not begin it again
+		u = b.startOwner() // must not start the job again
 		time.Sleep(time.Minute)
-		if got := b.counts(u, id); got != "stopped:10" {
-			t.Errorf("the job is %s", got)
+		if got := b.taskCounts(u, id); got != "stopped:10" {
+			t.Errorf("tasks by state: %s, want stopped:10", got)
 		}
 		if starts := len(b.fleet.Witness.Starts()); starts != 4 {
-			t.Errorf("%d tasks were started", starts)
+			t.Errorf("%d tasks were started, want 4", starts)
 		}
 	})
 }
 
-func TestQuotaAndStartTimeHoldTasksBack(t *testing.T) {
+func TestQuotaAndStartTimeDelayTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2)
+		b := newTestBench(t, 2)
 		defer b.close()
-		u := b.own()
-		b.rev.Set.Accounts["a"] = config.Account{Name: "a"}
-		quota := b.rev.Set.Accounts["a"]
-		quota.Quota.CPU = 8000 // two tasks
-		b.rev.Set.Accounts["a"] = quota
-		j, err := job.New("h", job.Request{Template: "again", Tasks: 4, Start: time.Now().Add(time.Minute)}, quota, b.rev, time.Now())
+		u := b.startOwner()
+		b.revision.Set.Accounts["a"] = config.Account{Name: "a"}
+		account := b.revision.Set.Accounts["a"]
+		account.Quota.CPU = 8000 // enough for two tasks
+		b.revision.Set.Accounts["a"] = account
+		j, err := job.New("h", job.Request{Template: "again", Tasks: 4, Start: time.Now().Add(time.Minute)}, account, b.revision, time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -208,15 +208,15 @@
 		}
 		time.Sleep(59 * time.Second)
 		if n := b.fleet.Witness.Running(); n != 0 {
-			t.Errorf("%d tasks run before their time", n)
+			t.Errorf("%d tasks are running before the start time, want 0", n)
 		}
 		time.Sleep(5 * time.Second)
 		if n := b.fleet.Witness.Running(); n != 2 {
-			t.Errorf("%d tasks run, the quota is for 2", n)
+			t.Errorf("%d tasks are running, want 2 by the quota", n)
 		}
 		time.Sleep(time.Minute)
-		if got := b.counts(u, j.ID); got != "done:4" {
-			t.Errorf("the job is %s", got)
+		if got := b.taskCounts(u, j.ID); got != "done:4" {
+			t.Errorf("tasks by state: %s, want done:4", got)
 		}
 	})
 }
--- a/hall/unit_test.go
+++ b/hall/unit_test.go
@@ -24,25 +24,26 @@
 )
 
 const (
-	testLease = 30 * time.Second
-	testSure  = 4 * time.Second // that an owner is surer of than its last beat
+	testLease        = 30 * time.Second
+	testOwnershipTTL = 4 * time.Second // how long ownership stays valid after a successful heartbeat
 )
 
-// bench is a unit of one hall, its platform, and what owners it has had.
-type bench struct {
-	t     *testing.T
-	mu    sync.Mutex
-	table *standin.Table
-	fleet *standin.Fleet
-	boxes standin.BoxList
-	rev   config.Revision
-	epoch uint64
-	units []*Unit
-	over  []time.Time // when each owner was taken over from; zero while it was not
+// testBench holds the only unit of a hall, the simulated platform, and the unit's
+// successive owners.
+type testBench struct {
+	t         *testing.T
+	mu        sync.Mutex
+	table     *standin.Table
+	fleet     *standin.Fleet
+	boxes     standin.BoxList
+	revision  config.Revision
+	epoch     uint64
+	units     []*Unit     // in the order of their takeovers
+	takenOver []time.Time // by owner; zero until a successor takes over
 }
 
-func newBench(t *testing.T, workers int) *bench {
-	b := &bench{t: t, table: standin.NewTable(), fleet: standin.NewFleet()}
+func newTestBench(t *testing.T, workers int) *testBench {
+	b := &testBench{t: t, table: standin.NewTable(), fleet: standin.NewFleet()}
 	for i := range workers {
 		b.fleet.Add(provider.Worker{
 			Name: fmt.Sprintf("w%02d", i), Hall: "h", Rack: fmt.Sprintf("r%d", i/6),
@@ -52,59 +53,59 @@
 	set := config.NewSet()
 	set.Halls["h"] = config.Hall{Name: "h", Units: 1}
 	set.Policies["p"] = config.Policy{Name: "p", Scoring: config.ScoreWaiting}
-	b.rev = config.Revision{Number: 1, Set: set}
-	b.template("again", "sleep 10s", config.RepeatAlways)
-	b.template("once", "sleep 10s", config.RepeatNever)
-	b.template("resume", "sleep 10s", config.RepeatCheckpoint)
-	b.template("bad", "fail 1s", config.RepeatAlways)
-	s := b.template("replica", "serve 5ms", config.RepeatAlways)
-	s.Form, s.Class, s.Slots, s.Connections, s.Down = config.FormService, config.Service, 8, 60, 1
-	s.Need = resource.Amount{CPU: 500, Memory: 1 << 30} // so that many services leave room for jobs
-	set.Templates["replica"] = s
+	b.revision = config.Revision{Number: 1, Set: set}
+	b.addTemplate("again", "sleep 10s", config.RepeatAlways)
+	b.addTemplate("once", "sleep 10s", config.RepeatNever)
+	b.addTemplate("resume", "sleep 10s", config.RepeatCheckpoint)
+	b.addTemplate("bad", "fail 1s", config.RepeatAlways)
+	replica := b.addTemplate("replica", "serve 5ms", config.RepeatAlways)
+	replica.Form, replica.Class, replica.Slots, replica.Connections, replica.Down = config.FormService, config.Service, 8, 60, 1
+	replica.Need = resource.Amount{CPU: 500, Memory: 1 << 30} // small, so that replicas leave room for batch tasks
+	set.Templates["replica"] = replica
 	return b
 }
 
-func (b *bench) template(name, command string, r config.Repeat) config.Template {
-	tm := config.Template{
+func (b *testBench) addTemplate(name, command string, r config.Repeat) config.Template {
+	template := config.Template{
 		Name: name, Form: config.FormBatch, Class: config.Batch, Command: command, Policy: "p",
 		Need: resource.Amount{CPU: 4000, Memory: 8 << 30}, Tasks: 1, Lease: testLease, Repeat: r, Attempts: 3,
 	}
-	b.rev.Set.Templates[name] = tm
-	return tm
+	b.revision.Set.Templates[name] = template
+	return template
 }
 
-// own makes a new owner, fenced against the ones before it, and runs it.
-func (b *bench) own() *Unit {
+// startOwner runs a new owner of the unit. Its epoch fences off earlier owners.
+func (b *testBench) startOwner() *Unit {
 	u := b.newOwner()
 	go u.Run()
 	return u
 }
 
-// newOwner makes a new owner that does not run yet.
-func (b *bench) newOwner() *Unit {
+// newOwner takes the unit over for a new owner without running it.
+func (b *testBench) newOwner() *Unit {
 	ctx := context.Background()
-	was, err := b.table.Get(ctx, control.UnitKey("h"))
+	previous, err := b.table.Get(ctx, control.UnitKey("h"))
 	for err != nil {
 		time.Sleep(100 * time.Millisecond)
-		was, err = b.table.Get(ctx, control.UnitKey("h"))
+		previous, err = b.table.Get(ctx, control.UnitKey("h"))
 	}
 	b.epoch++
 	now := time.Now()
-	b.fence(now)
-	row := control.UnitRow{Owner: control.NewIncarnation("box"), Epoch: b.epoch, Sure: now}
+	b.recordTakeover(now)
+	owner := control.UnitRow{Owner: control.NewIncarnation("box"), Epoch: b.epoch, Sure: now}
 	sender := commit.NewSender(b.table, rate.NewLimiter(rate.Inf, 1))
-	txn := provider.Txn{ID: fmt.Sprint("own-", b.epoch)}.Put(control.UnitKey("h"), was.Version, control.Encode(row))
+	txn := provider.Txn{ID: fmt.Sprint("own-", b.epoch)}.Put(control.UnitKey("h"), previous.Version, control.Encode(owner))
 	version, err := sender.Do(ctx, txn)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.mu.Lock()
-	me := len(b.over)
-	b.over = append(b.over, time.Time{})
+	index := len(b.takenOver)
+	b.takenOver = append(b.takenOver, time.Time{})
 	b.mu.Unlock()
 	u := New(ownership.Hold{Unit: "h", Epoch: b.epoch, Version: version, Before: now}, Defaults, Deps{
 		Workers: b.fleet, Boxes: &b.boxes, Sender: sender,
-		Sure:   func() time.Time { return b.sure(me) },
+		Sure:   func() time.Time { return b.ownedUntil(index) },
 		Config: b.config,
 		Events: timeline.NewRing("box", &timeline.Clock{}, 100), Log: zerolog.Nop(),
 	})
@@ -114,42 +115,42 @@
 	return u
 }
 
-// fence notes when the owners so far were taken over from. An owner is never
-// sure for longer: its successor waited until its heartbeat had lapsed.
-func (b *bench) fence(now time.Time) {
+// recordTakeover ends the ownership of all earlier owners at now. In production a
+// successor waits for their heartbeats to lapse, so none is valid for longer.
+func (b *testBench) recordTakeover(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i := range b.over {
-		if b.over[i].IsZero() {
-			b.over[i] = now
+	for i := range b.takenOver {
+		if b.takenOver[i].IsZero() {
+			b.takenOver[i] = now
 		}
 	}
 }
 
-func (b *bench) sure(owner int) time.Time {
+func (b *testBench) ownedUntil(owner int) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	sure := time.Now().Add(testSure)
-	if over := b.over[owner]; !over.IsZero() && over.Before(sure) {
-		return over
+	until := time.Now().Add(testOwnershipTTL)
+	if takenOverAt := b.takenOver[owner]; !takenOverAt.IsZero() && takenOverAt.Before(until) {
+		return takenOverAt
 	}
-	return sure
+	return until
 }
 
-func (b *bench) config() config.Revision {
+func (b *testBench) config() config.Revision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.rev
+	return b.revision
 }
 
-// kill ends an owner as a killed process ends: what it has sent goes on, and
-// nothing more is sent.
-func (b *bench) kill(u *Unit) { u.cancel(errDisowned) }
+// kill simulates a crash of the owner: requests already sent may still take
+// effect, and no more are sent.
+func (b *testBench) kill(u *Unit) { u.cancel(errDisowned) }
 
-// submit puts a job into the inbox, as any box does.
-func (b *bench) submit(template string, tasks int) job.ID {
+// submit commits a job to the inbox, as any box does on submission.
+func (b *testBench) submit(template string, tasks int) job.ID {
 	b.t.Helper()
-	j, err := job.New("h", job.Request{Template: template, Tasks: tasks}, config.Account{Name: "a"}, b.rev, time.Now())
+	j, err := job.New("h", job.Request{Template: template, Tasks: tasks}, config.Account{Name: "a"}, b.revision, time.Now())
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -161,16 +162,16 @@
 	return j.ID
 }
 
-// close ends every owner and worker, so that the bubble can end.
-func (b *bench) close() {
+// close stops all owners and workers, so that the synctest bubble can exit.
+func (b *testBench) close() {
 	for _, u := range b.units {
 		u.Stop()
 	}
 	b.fleet.Close()
 }
 
-// counts returns a job's tasks by state.
-func (b *bench) counts(u *Unit, id job.ID) string {
+// taskCounts returns the number of tasks in each state, as in "done:3 running:1".
+func (b *testBench) taskCounts(u *Unit, id job.ID) string {
 	b.t.Helper()
 	s, found := u.Job(id)
 	if !found {
@@ -179,26 +180,27 @@
 	return strings.TrimSuffix(strings.TrimPrefix(fmt.Sprint(s.Counts), "map["), "]")
 }
 
-// kept fails the test if the workers saw a promise broken.
-func (b *bench) kept() {
+// checkInvariants fails the test if a task ran twice at once or a worker was
+// overcommitted, as observed on the workers.
+func (b *testBench) checkInvariants() {
 	b.t.Helper()
-	for _, broken := range b.fleet.Witness.Broken() {
-		b.t.Error(broken)
+	for _, violation := range b.fleet.Witness.Broken() {
+		b.t.Error(violation)
 	}
 }
 
-// onceOnly fails the test if a task of the job was started twice.
-func (b *bench) onceOnly(id job.ID) {
+// checkStartedAtMostOnce fails the test if a task of the job started more than once.
+func (b *testBench) checkStartedAtMostOnce(id job.ID) {
 	b.t.Helper()
 	for task, n := range b.fleet.Witness.Starts() {
 		if strings.HasPrefix(task, string(id)) && n > 1 {
-			b.t.Errorf("%s was started %d times", task, n)
+			b.t.Errorf("task %s was started %d times, want at most 1", task, n)
 		}
 	}
 }
 
-func TestJobsRunToTheirEnd(t *testing.T) {
-	for _, c := range []struct {
+func TestJobsComplete(t *testing.T) {
+	for _, tc := range []struct {
 		template string
 		tasks    int
 		want     string
@@ -208,17 +210,17 @@
 		{"bad", 2, "failed:2"},
 		{"replica", 4, "running:4"},
 	} {
-		t.Run(c.template, func(t *testing.T) {
+		t.Run(tc.template, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, 3)
+				b := newTestBench(t, 3)
 				defer b.close()
-				u := b.own()
-				id := b.submit(c.template, c.tasks)
+				u := b.startOwner()
+				id := b.submit(tc.template, tc.tasks)
 				time.Sleep(2 * time.Minute)
-				if got := b.counts(u, id); got != c.want {
-					t.Errorf("job is %s, want %s", got, c.want)
+				if got := b.taskCounts(u, id); got != tc.want {
+					t.Errorf("tasks by state: %s, want %s", got, tc.want)
 				}
-				b.kept()
+				b.checkInvariants()
 			})
 		})
 	}
