--- a/hall/bench_test.go
+++ b/hall/bench_test.go
@@ -217,7 +217,7 @@
 				if perSecond > 0 {
 					inserts = int64(period / (100 * time.Millisecond))
 				}
-				u.summed = time.Time{}
+				u.summaryTime = time.Time{}
 				b.ReportMetric(float64(table.Commits.Load()-commits-inserts)/period.Seconds(), "txn/s")
 				b.ReportMetric(float64(table.Reads.Load()-reads)/period.Seconds(), "reads/s")
 				b.ReportMetric(float64(u.Summary().Rows-rows)/period.Seconds(), "rows/s")
@@ -248,7 +248,7 @@
 
 // Disown implements ownership.Owner.
 func (t *takeoverBox) Disown(string) time.Time {
-	t.current.cancel(errDisowned)
+	t.current.cancel(errStopped)
 	return time.Now()
 }
 
@@ -280,7 +280,7 @@
 		time.Sleep(4 * time.Second) // until the second box is eligible to own units
 		submitJobs(b, table, rev, "long", 1, 1)
 		first.cancel()
-		u.cancel(errDisowned)
+		u.cancel(errStopped)
 		diedAt := time.Now()
 		submitJobs(b, table, rev, "long", 1, 1)
 		successor := <-second.units
--- a/hall/unit_test.go
+++ b/hall/unit_test.go
@@ -145,7 +145,7 @@
 
 // kill simulates a crash of the owner: requests already sent may still take
 // effect, and no more are sent.
-func (b *testBench) kill(u *Unit) { u.cancel(errDisowned) }
+func (b *testBench) kill(u *Unit) { u.cancel(errStopped) }
 
 // submit commits a job to the inbox, as any box does on submission.
 func (b *testBench) submit(template string, tasks int) job.ID {
