--- a/api/errors.go
+++ b/api/errors.go
@@ -87,7 +87,7 @@
 	{as[*cell.NoUnitError], http.StatusBadRequest, CodeInvalid},
 	{as[*job.SettleError], http.StatusConflict, CodeConflict},
 	{as[*NotFoundError], http.StatusNotFound, CodeNotFound},
-	{as[*hall.NoJobError], http.StatusNotFound, CodeNotFound},
+	{as[*hall.JobNotFoundError], http.StatusNotFound, CodeNotFound},
 	{as[*publish.NoRevisionError], http.StatusNotFound, CodeNotFound},
 	{as[*publish.ConflictError], http.StatusConflict, CodeConflict},
 	{as[*cell.KeyReusedError], http.StatusUnprocessableEntity, CodeKeyReused},
--- a/box/life.go
+++ b/box/life.go
@@ -196,10 +196,10 @@
 // Own implements ownership.Owner.
 func (s *units) Own(h ownership.Hold) {
 	b := s.life.box
-	set := hall.Defaults
+	set := hall.DefaultSettings
 	set.ClockError = b.set.Times.ClockError
 	u := hall.New(h, set, hall.Deps{
-		Workers: b.platform.Workers, Boxes: b.platform.Boxes, Sender: s.life.sender, Sure: s.life.keeper.Sure,
+		Workers: b.platform.Workers, Boxes: b.platform.Boxes, Sender: s.life.sender, OwnedUntil: s.life.keeper.Sure,
 		Config: s.life.publisher.Current, Events: b.events, Log: logs.For(b.log, logs.Hall),
 	})
 	s.mu.Lock()
@@ -238,7 +238,7 @@
 // configured tells the units that a new revision is in force.
 func (s *units) configured() {
 	for _, u := range s.All() {
-		u.Configured()
+		u.ApplyConfig()
 	}
 }
 
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -115,15 +115,15 @@
 const CodeNoJob peer.Code = "no-job"
 
 // noJob gives a NoJobError its code.
-type noJob struct{ *hall.NoJobError }
+type noJob struct{ *hall.JobNotFoundError }
 
 func (noJob) Code() peer.Code { return CodeNoJob }
 
 // Unwrap lets callers on this box find the NoJobError.
-func (e noJob) Unwrap() error { return e.NoJobError }
+func (e noJob) Unwrap() error { return e.JobNotFoundError }
 
 func coded(err error) error {
-	var missing *hall.NoJobError
+	var missing *hall.JobNotFoundError
 	if errors.As(err, &missing) {
 		return noJob{missing}
 	}
@@ -263,7 +263,7 @@
 
 func (c *Cell) notified(_ context.Context, unit string) (none, error) {
 	if u := c.Units.Unit(unit); u != nil {
-		u.Notify()
+		u.NotifyInbox()
 	}
 	return none{}, nil
 }
@@ -322,7 +322,7 @@
 				unheard = append(unheard, unit)
 				continue
 			}
-			if !t.Need.Fits(sum.Largest) {
+			if !t.Need.Fits(sum.MaxPerWorker) {
 				continue
 			}
 			if f := c.fullness(sum, t); best == "" || f < least {
--- a/cell/jobs.go
+++ b/cell/jobs.go
@@ -17,7 +17,7 @@
 // where there is none.
 func (c *Cell) Job(ctx context.Context, id job.ID) (hall.JobStatus, error) {
 	if !id.Valid() {
-		return hall.JobStatus{}, &hall.NoJobError{ID: id}
+		return hall.JobStatus{}, &hall.JobNotFoundError{ID: id}
 	}
 	s, err := atOwner(ctx, c, id.Unit(), pathJob, id, c.ownJob)
 	var (
@@ -25,7 +25,7 @@
 		unreachable *peer.UnreachableError
 		lost        *peer.LostError
 	)
-	missing := errors.As(err, new(*hall.NoJobError)) || hasCode(err, CodeNoJob)
+	missing := errors.As(err, new(*hall.JobNotFoundError)) || hasCode(err, CodeNoJob)
 	if missing || hasCode(err, CodeNoOwner) || errors.As(err, &noOwner) || errors.As(err, &unreachable) || errors.As(err, &lost) {
 		return c.fromTable(ctx, id)
 	}
@@ -44,7 +44,7 @@
 	}
 	s, found := u.Job(id)
 	if !found {
-		return s, noJob{&hall.NoJobError{ID: id}}
+		return s, noJob{&hall.JobNotFoundError{ID: id}}
 	}
 	return s, nil
 }
@@ -61,7 +61,7 @@
 		return hall.JobStatus{}, err
 	}
 	if !row.Exists() {
-		return hall.JobStatus{}, &hall.NoJobError{ID: id}
+		return hall.JobStatus{}, &hall.JobNotFoundError{ID: id}
 	}
 	j, err := job.Decode(row.Value)
 	if err != nil {
--- a/hall/bench_test.go
+++ b/hall/bench_test.go
@@ -60,9 +60,9 @@
 func benchmarkDeps(table provider.Table, fleet *standin.Fleet, rev config.Revision) Deps {
 	return Deps{
 		Workers: fleet, Boxes: &standin.BoxList{}, Sender: commit.NewSender(table, rate.NewLimiter(tableRate, 1)),
-		Sure:   func() time.Time { return time.Now().Add(testOwnershipTTL) },
-		Config: func() config.Revision { return rev },
-		Events: timeline.NewRing("box", &timeline.Clock{}, 1000), Log: zerolog.Nop(),
+		OwnedUntil: func() time.Time { return time.Now().Add(testOwnershipTTL) },
+		Config:     func() config.Revision { return rev },
+		Events:     timeline.NewRing("box", &timeline.Clock{}, 1000), Log: zerolog.Nop(),
 	}
 }
 
@@ -129,19 +129,19 @@
 		rows  int
 		tasks int
 	}{
-		{"group", Defaults.BatchRows, hallTasks},
+		{"group", DefaultSettings.BatchRows, hallTasks},
 		{"single", 1, 400},
 	} {
 		b.Run(tc.name, func(b *testing.B) {
 			var elapsed time.Duration
 			for range b.N {
 				table, fleet := benchmarkPlatform(hallWorkers)
-				rev, set := benchmarkConfig(), Defaults
+				rev, set := benchmarkConfig(), DefaultSettings
 				set.BatchRows = tc.rows
 				u := startBenchmarkUnit(b, table, fleet, rev, set)
 				start := time.Now()
 				submitJobs(b, table, rev, "long", 1, tc.tasks)
-				u.Notify()
+				u.NotifyInbox()
 				waitUntil(func() bool { return u.placedTasks() == int64(tc.tasks) })
 				elapsed += time.Since(start)
 				u.Stop()
@@ -159,10 +159,10 @@
 	for range b.N {
 		table, fleet := benchmarkPlatform(hallWorkers)
 		rev := benchmarkConfig()
-		u := startBenchmarkUnit(b, table, fleet, rev, Defaults)
+		u := startBenchmarkUnit(b, table, fleet, rev, DefaultSettings)
 		heapBefore, mallocsBefore := heapAlloc(), mallocs()
 		submitJobs(b, table, rev, "long", hallTasks/10, 10)
-		u.Notify()
+		u.NotifyInbox()
 		waitUntil(func() bool { return u.startedTasks() == hallTasks })
 		total := heapAlloc() - heapBefore
 		b.ReportMetric(float64(mallocs()-mallocsBefore)/hallTasks, "allocs/start")
@@ -201,14 +201,14 @@
 			for range b.N {
 				table, fleet := benchmarkPlatform(hallWorkers)
 				rev := benchmarkConfig()
-				u := startBenchmarkUnit(b, table, fleet, rev, Defaults)
+				u := startBenchmarkUnit(b, table, fleet, rev, DefaultSettings)
 				commits, reads := table.Commits.Load(), table.Reads.Load()
 				rows := u.Summary().Rows
 				start := time.Now()
 				for i := 0; time.Since(start) < period; i++ {
 					if perSecond > 0 {
 						submitJobs(b, table, rev, "short", 1, max(perSecond/10, 1))
-						u.Notify()
+						u.NotifyInbox()
 					}
 					time.Sleep(time.Until(start.Add(time.Duration(i+1) * 100 * time.Millisecond)))
 				}
@@ -241,7 +241,7 @@
 // Own implements ownership.Owner.
 func (t *takeoverBox) Own(h ownership.Hold) {
 	t.ownedAt = time.Now()
-	t.current = New(h, Defaults, t.deps)
+	t.current = New(h, DefaultSettings, t.deps)
 	go t.current.Run()
 	t.units <- t.current
 }
@@ -258,7 +258,7 @@
 	times := ownership.Settings{Beat: time.Second, Lapse: 3 * time.Second}
 	t.manager = ownership.New(self, times, t.deps.Sender, t, zerolog.Nop())
 	t.manager.SetUnits([]string{"h"})
-	t.deps.Sure = t.manager.Sure
+	t.deps.OwnedUntil = t.manager.Sure
 	ctx, cancel := context.WithCancel(context.Background())
 	t.cancel = cancel
 	go t.manager.Run(ctx)
--- a/hall/endpoints.go
+++ b/hall/endpoints.go
@@ -13,7 +13,7 @@
 	Hall     string `json:"hall" cbor:"4,keyasint"`
 	Address  string `json:"address" cbor:"5,keyasint"`
 	Slots    int    `json:"slots" cbor:"6,keyasint"`
-	Conns    int    `json:"connections" cbor:"7,keyasint"`
+	MaxConns int    `json:"connections" cbor:"7,keyasint"`
 	Draining bool   `json:"draining,omitempty" cbor:"8,keyasint,omitempty"`
 }
 
@@ -32,7 +32,7 @@
 			tm := t.job.job.Template
 			all = append(all, Endpoint{
 				Service: tm.Name, Attempt: t.attempt, Worker: info.Name, Hall: info.Hall, Address: t.endpoint,
-				Slots: tm.Slots, Conns: tm.Connections,
+				Slots: tm.Slots, MaxConns: tm.Connections,
 				Draining: t.phase == stopping || u.drained(w),
 			})
 		}
--- a/hall/inbox.go
+++ b/hall/inbox.go
@@ -8,9 +8,9 @@
 	"chutereach/timeline"
 )
 
-// Notify makes the unit read its inbox soon. It is only a hint: the inbox is also
+// NotifyInbox makes the unit read its inbox soon. It is only a hint: the inbox is also
 // read every Settings.InboxInterval.
-func (u *Unit) Notify() { notify(u.inboxSignal) }
+func (u *Unit) NotifyInbox() { notify(u.inboxSignal) }
 
 // inboxLoop moves submitted jobs from the unit's inbox, to which any box can write,
 // to the unit.
--- a/hall/operate.go
+++ b/hall/operate.go
@@ -8,10 +8,10 @@
 	"chutereach/timeline"
 )
 
-// NoJobError reports that no job with the given ID was found.
-type NoJobError struct{ ID job.ID }
+// JobNotFoundError reports that no job with the given ID was found.
+type JobNotFoundError struct{ ID job.ID }
 
-func (e *NoJobError) Error() string { return fmt.Sprintf("there is no job %q", string(e.ID)) }
+func (e *JobNotFoundError) Error() string { return fmt.Sprintf("there is no job %q", string(e.ID)) }
 
 // StopJob stops a job: its waiting tasks are not started and its running tasks are
 // stopped. It returns as soon as the commit of the request is scheduled, and does
@@ -21,7 +21,7 @@
 	defer u.mu.Unlock()
 	j := u.jobs[id]
 	if j == nil || j.version == 0 {
-		return &NoJobError{id}
+		return &JobNotFoundError{id}
 	}
 	if j.job.Stopped {
 		return nil
@@ -60,7 +60,7 @@
 	defer u.mu.Unlock()
 	j := u.jobs[id]
 	if j == nil || task < 0 || task >= len(j.tasks) {
-		return &NoJobError{id}
+		return &JobNotFoundError{id}
 	}
 	t := j.tasks[task]
 	next, err := t.task.WithSettled(s, time.Now())
--- a/hall/orders.go
+++ b/hall/orders.go
@@ -108,7 +108,7 @@
 // whose ownership may have expired starts nothing; the task is then put back, since
 // no call was made for the attempt.
 func (u *Unit) newStartCall(w *workerState, attempt string) (provider.StartCall, bool) {
-	sure := u.deps.Sure()
+	sure := u.deps.OwnedUntil()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	t := w.tasks[attempt]
@@ -143,7 +143,7 @@
 // suspended must not stop attempts that the new owner started, nor make a worker
 // forget attempts whose outcome the new owner has not read yet.
 func (u *Unit) ownerCallExpiry(now time.Time) (expires time.Time, sure bool) {
-	end := u.deps.Sure().Add(-u.settings.ClockError)
+	end := u.deps.OwnedUntil().Add(-u.settings.ClockError)
 	return earlier(now.Add(u.settings.CallTimeout), end), now.Before(end)
 }
 
--- a/hall/planned.go
+++ b/hall/planned.go
@@ -9,9 +9,9 @@
 	"chutereach/timeline"
 )
 
-// Configured applies a new configuration revision: drained workers, and changed
+// ApplyConfig applies a new configuration revision: drained workers, and changed
 // templates of running services.
-func (u *Unit) Configured() {
+func (u *Unit) ApplyConfig() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, w := range u.workers {
--- a/hall/planned_test.go
+++ b/hall/planned_test.go
@@ -27,7 +27,7 @@
 	b.revision.Set.Templates = maps.Clone(b.revision.Set.Templates)
 	change(&b.revision.Set)
 	b.mu.Unlock()
-	u.Configured()
+	u.ApplyConfig()
 }
 
 func TestReplicaMovesRespectDownLimit(t *testing.T) {
--- a/hall/report.go
+++ b/hall/report.go
@@ -17,17 +17,17 @@
 	Workers  int             `json:"workers" cbor:"4,keyasint"`
 	Capacity resource.Amount `json:"capacity" cbor:"5,keyasint"`
 	Used     resource.Amount `json:"used" cbor:"6,keyasint"`
-	// Largest is the maximum of each resource over the workers. The maxima need not
+	// MaxPerWorker is the maximum of each resource over the workers. The maxima need not
 	// come from the same worker.
-	Largest resource.Amount `json:"largest" cbor:"7,keyasint"`
-	Jobs    int             `json:"jobs" cbor:"8,keyasint"`
-	Waiting int             `json:"waiting" cbor:"9,keyasint"` // tasks
-	Running int             `json:"running" cbor:"10,keyasint"`
-	Unknown int             `json:"unknown" cbor:"11,keyasint"`
-	Placed  int64           `json:"placed" cbor:"12,keyasint"`
-	Commits int64           `json:"commits" cbor:"13,keyasint"`
-	Rows    int64           `json:"rows" cbor:"14,keyasint"`
-	Waits   []WaitSummary   `json:"waits" cbor:"15,keyasint"`
+	MaxPerWorker resource.Amount `json:"largest" cbor:"7,keyasint"`
+	Jobs         int             `json:"jobs" cbor:"8,keyasint"`
+	Waiting      int             `json:"waiting" cbor:"9,keyasint"` // tasks
+	Running      int             `json:"running" cbor:"10,keyasint"`
+	Unknown      int             `json:"unknown" cbor:"11,keyasint"`
+	Placed       int64           `json:"placed" cbor:"12,keyasint"`
+	Commits      int64           `json:"commits" cbor:"13,keyasint"`
+	Rows         int64           `json:"rows" cbor:"14,keyasint"`
+	Waits        []WaitSummary   `json:"waits" cbor:"15,keyasint"`
 }
 
 // maxSummaryAge is how long a summary is cached, since computing one iterates over
@@ -53,9 +53,9 @@
 	for _, w := range u.workers {
 		s.Used = s.Used.Plus(w.ledger.Used())
 		c := w.ledger.Worker().Capacity
-		s.Largest.CPU = max(s.Largest.CPU, c.CPU)
-		s.Largest.Memory = max(s.Largest.Memory, c.Memory)
-		s.Largest.Accelerators = max(s.Largest.Accelerators, c.Accelerators)
+		s.MaxPerWorker.CPU = max(s.MaxPerWorker.CPU, c.CPU)
+		s.MaxPerWorker.Memory = max(s.MaxPerWorker.Memory, c.Memory)
+		s.MaxPerWorker.Accelerators = max(s.MaxPerWorker.Accelerators, c.Accelerators)
 	}
 	for _, j := range u.jobs {
 		s.Waiting += len(j.waiting)
--- a/hall/unit.go
+++ b/hall/unit.go
@@ -37,8 +37,8 @@
 	JobRetention      time.Duration // how long ended jobs are kept
 }
 
-// Defaults are the default settings.
-var Defaults = Settings{
+// DefaultSettings are the default settings.
+var DefaultSettings = Settings{
 	ClockError:        500 * time.Millisecond,
 	CallTimeout:       2 * time.Second,
 	ReportWait:        10 * time.Second,
@@ -56,8 +56,8 @@
 	Workers provider.Workers
 	Boxes   provider.BoxList
 	Sender  *commit.Sender
-	// Sure returns the time until which no other box can have taken over the unit.
-	Sure func() time.Time
+	// OwnedUntil returns the time until which no other box can have taken over the unit.
+	OwnedUntil func() time.Time
 	// Config returns the current configuration revision.
 	Config func() config.Revision
 	Events *timeline.Ring
--- a/hall/unit_test.go
+++ b/hall/unit_test.go
@@ -103,11 +103,11 @@
 	index := len(b.takenOver)
 	b.takenOver = append(b.takenOver, time.Time{})
 	b.mu.Unlock()
-	u := New(ownership.Hold{Unit: "h", Epoch: b.epoch, Version: version, Before: now}, Defaults, Deps{
+	u := New(ownership.Hold{Unit: "h", Epoch: b.epoch, Version: version, Before: now}, DefaultSettings, Deps{
 		Workers: b.fleet, Boxes: &b.boxes, Sender: sender,
-		Sure:   func() time.Time { return b.ownedUntil(index) },
-		Config: b.config,
-		Events: timeline.NewRing("box", &timeline.Clock{}, 100), Log: zerolog.Nop(),
+		OwnedUntil: func() time.Time { return b.ownedUntil(index) },
+		Config:     b.config,
+		Events:     timeline.NewRing("box", &timeline.Clock{}, 100), Log: zerolog.Nop(),
 	})
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/hall/watch.go
+++ b/hall/watch.go
@@ -73,7 +73,7 @@
 // more than half a renewal interval. The returned forget is restored by the caller
 // if the call fails; known is false if the worker must be listed first.
 func (u *Unit) newRenewCall(w *workerState) (call provider.RenewCall, forget []string, known bool) {
-	sure := u.deps.Sure()
+	sure := u.deps.OwnedUntil()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	interrupted := w.pollInterrupted
--- a/route/cell_test.go
+++ b/route/cell_test.go
@@ -137,7 +137,7 @@
 func endpoints(slots int, addresses ...string) []hall.Endpoint {
 	var list []hall.Endpoint
 	for i, a := range addresses {
-		list = append(list, hall.Endpoint{Service: "s", Attempt: fmt.Sprint("a", i), Address: a, Slots: slots, Conns: slots})
+		list = append(list, hall.Endpoint{Service: "s", Attempt: fmt.Sprint("a", i), Address: a, Slots: slots, MaxConns: slots})
 	}
 	return list
 }
--- a/route/opening_test.go
+++ b/route/opening_test.go
@@ -164,7 +164,7 @@
 	slow := map[string]bool{}
 	for i := range openUpstreams {
 		slow[fmt.Sprintf("up-%d", i)] = i < x.slow
-		e := hall.Endpoint{Service: "s", Attempt: fmt.Sprintf("up-%d", i), Slots: openSlots, Conns: openSlots}
+		e := hall.Endpoint{Service: "s", Attempt: fmt.Sprintf("up-%d", i), Slots: openSlots, MaxConns: openSlots}
 		for _, r := range routers {
 			r.members.SetOwn(e.Attempt, 1, []hall.Endpoint{e})
 		}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -44,7 +44,7 @@
 	b.Router = New(Deps{Self: self, Members: m, Claims: group, Leaving: func() bool { return false }, Log: zerolog.Nop()})
 	var list []hall.Endpoint
 	for i, a := range addresses {
-		list = append(list, hall.Endpoint{Service: "s", Attempt: fmt.Sprint("a", i), Address: a, Slots: 1, Conns: 1})
+		list = append(list, hall.Endpoint{Service: "s", Attempt: fmt.Sprint("a", i), Address: a, Slots: 1, MaxConns: 1})
 	}
 	m.SetView(t.Context(), control.View{})
 	m.SetOwn("u", 1, list)
@@ -259,7 +259,7 @@
 // first.
 func TestQueueIsBoundedAndOrdered(t *testing.T) {
 	p := newPool()
-	p.set([]hall.Endpoint{{Attempt: "a", Slots: 1, Conns: 1}}, nil)
+	p.set([]hall.Endpoint{{Attempt: "a", Slots: 1, MaxConns: 1}}, nil)
 	p.service = 10 * time.Millisecond
 	class := func(c config.Class) *Request {
 		r := request("x", config.SafeRepeat)
@@ -297,7 +297,7 @@
 
 func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
 	p := newPool()
-	p.set([]hall.Endpoint{{Attempt: "a", Slots: 1, Conns: 1}}, nil)
+	p.set([]hall.Endpoint{{Attempt: "a", Slots: 1, MaxConns: 1}}, nil)
 	p.service = time.Hour
 	r := request("x", config.SafeRepeat)
 	if _, err := p.acquire(context.Background(), r, ""); err != nil {
--- a/route/upstream.go
+++ b/route/upstream.go
@@ -54,7 +54,7 @@
 	}
 	u := &upstream{Endpoint: e, limit: float64(e.Slots), client: &http.Client{
 		Transport: &http.Transport{
-			DialContext: dial, MaxConnsPerHost: e.Conns, MaxIdleConnsPerHost: e.Slots,
+			DialContext: dial, MaxConnsPerHost: e.MaxConns, MaxIdleConnsPerHost: e.Slots,
 			IdleConnTimeout: idleTimeout, DisableCompression: true,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
