--- a/cell/cell.go
+++ b/cell/cell.go
@@ -1,5 +1,5 @@
-// Package cell carries out what callers and operators ask, on whichever box it
-// can be done: here, at the owner of a unit, or in the table.
+// Package cell implements the cluster-wide operations of callers and operators. An
+// operation runs on this box, on the box that owns the unit, or against the table.
 package cell
 
 import (
@@ -28,15 +28,15 @@
 	"chutereach/timeline"
 )
 
-// Units is what a box needs to know of the units that it owns.
+// Units gives access to the units that this box owns.
 type Units interface {
-	// Unit returns a unit that this box owns, or nil.
+	// Unit returns the named unit, or nil if this box does not own it.
 	Unit(name string) *hall.Unit
-	// All returns every unit that this box owns.
+	// All returns all units that this box owns.
 	All() []*hall.Unit
 }
 
-// Deps are what a Cell works with.
+// Deps holds the dependencies of a Cell.
 type Deps struct {
 	Self      control.BoxRow
 	Units     Units
@@ -50,24 +50,24 @@
 	Log       zerolog.Logger
 }
 
-// Cell carries out operations over all boxes.
+// Cell runs operations across all boxes.
 type Cell struct {
 	Deps
-	mu   sync.Mutex
-	sent map[string]sentTo // by unit
+	mu     sync.Mutex
+	recent map[string]recentTasks // by unit
 }
 
-// sentTo is how much work this box has sent to a unit since the unit's owner
-// last said what it has.
-type sentTo struct {
+// recentTasks counts the tasks that this box has submitted to a unit since a point in
+// time. The unit's summary may not include them yet.
+type recentTasks struct {
 	tasks int
-	heard time.Time
+	since time.Time
 }
 
 // New returns a Cell.
-func New(d Deps) *Cell { return &Cell{Deps: d, sent: map[string]sentTo{}} }
+func New(d Deps) *Cell { return &Cell{Deps: d, recent: map[string]recentTasks{}} }
 
-// Paths of the calls between boxes.
+// Paths of calls between boxes.
 const (
 	pathNotify   = "/peer/notify"
 	pathJob      = "/peer/job"
@@ -80,124 +80,128 @@
 	pathCurrent  = "/peer/current"
 )
 
-// Serve adds the calls that other boxes make.
+// Serve registers the handlers for calls from other boxes.
 func (c *Cell) Serve(mux *http.ServeMux) {
 	peer.Handle(mux, c.Members.Path(), c.Members.Answer)
 	peer.Handle(mux, c.Members.LeavingPath(), c.Members.Left)
-	peer.Handle(mux, pathNotify, c.notified)
-	peer.Handle(mux, pathJob, c.ownJob)
-	peer.Handle(mux, pathJobs, c.ownJobs)
-	peer.Handle(mux, pathStop, c.ownStop)
-	peer.Handle(mux, pathSettle, c.ownSettle)
-	peer.Handle(mux, pathWorkers, c.ownWorkers)
-	peer.Handle(mux, pathTimeline, c.ownTimeline)
-	peer.Handle(mux, pathRevision, c.pushed)
-	peer.Handle(mux, pathCurrent, c.ownCurrent)
+	peer.Handle(mux, pathNotify, c.localNotify)
+	peer.Handle(mux, pathJob, c.localJob)
+	peer.Handle(mux, pathJobs, c.localJobs)
+	peer.Handle(mux, pathStop, c.localStop)
+	peer.Handle(mux, pathSettle, c.localSettle)
+	peer.Handle(mux, pathWorkers, c.localWorkers)
+	peer.Handle(mux, pathTimeline, c.localTimeline)
+	peer.Handle(mux, pathRevision, c.applyRevision)
+	peer.Handle(mux, pathCurrent, c.localRevision)
 }
 
-// none stands where a call says nothing.
-type none struct{}
+// empty is a request or response without content.
+type empty struct{}
 
-// NoOwnerError says that nobody runs a unit at the moment.
+// NoOwnerError reports that no box currently owns a unit.
 type NoOwnerError struct{ Unit string }
 
 func (e *NoOwnerError) Error() string {
-	return fmt.Sprintf("unit %s has no owner at the moment; try again in some seconds", e.Unit)
+	return fmt.Sprintf("unit %s currently has no owner; retry in a few seconds", e.Unit)
 }
 
-// CodeNoOwner is the code of a NoOwnerError.
+// CodeNoOwner is the wire code of a NoOwnerError.
 const CodeNoOwner peer.Code = "no-owner"
 
 // Code implements peer.Coder.
 func (e *NoOwnerError) Code() peer.Code { return CodeNoOwner }
 
-// CodeNoJob is the code of a hall.NoJobError between boxes.
+// CodeNoJob is the wire code of a hall.NoJobError in calls between boxes.
 const CodeNoJob peer.Code = "no-job"
 
-// noJob gives a NoJobError its code.
-type noJob struct{ *hall.NoJobError }
+// codedNoJobError is a hall.NoJobError with a wire code.
+type codedNoJobError struct{ *hall.NoJobError }
 
-func (noJob) Code() peer.Code { return CodeNoJob }
+func (codedNoJobError) Code() peer.Code { return CodeNoJob }
 
-// Unwrap lets callers on this box find the NoJobError.
-func (e noJob) Unwrap() error { return e.NoJobError }
+// Unwrap lets errors.As find the hall.NoJobError in results of local calls.
+func (e codedNoJobError) Unwrap() error { return e.NoJobError }
 
-func coded(err error) error {
+// withCode adds the wire code to a hall.NoJobError and returns other errors unchanged.
+func withCode(err error) error {
 	var missing *hall.NoJobError
 	if errors.As(err, &missing) {
-		return noJob{missing}
+		return codedNoJobError{missing}
 	}
 	return err
 }
 
-// atOwner carries out a call at a unit's owner: here by do, or there by path.
-func atOwner[A, R any](ctx context.Context, c *Cell, unit, path string, request R, do func(context.Context, R) (A, error)) (A, error) {
+// callOwner runs an operation on the owner of unit. It calls do if this box is the owner,
+// and sends the request to the owner's path otherwise.
+func callOwner[A, R any](ctx context.Context, c *Cell, unit, path string, request R, do func(context.Context, R) (A, error)) (A, error) {
 	if c.Units.Unit(unit) != nil {
 		return do(ctx, request)
 	}
 	var answer A
 	owner := c.View().Units[unit].Row.Owner
-	row, there := c.View().Boxes[owner]
-	if owner == c.Self.Incarnation || !there {
+	row, found := c.View().Boxes[owner]
+	if owner == c.Self.Incarnation || !found {
 		return answer, &NoOwnerError{unit}
 	}
 	return peer.Call[A](ctx, c.Client, row.Row.Peer, path, request)
 }
 
-// everywhere makes a call at every box that answers, this one included, and
-// returns the answers and the boxes that gave none.
-func everywhere[A, R any](ctx context.Context, c *Cell, path string, request R, do func(context.Context, R) (A, error)) (answers []A, silent []string) {
+// callAll runs an operation on all boxes concurrently: by do on this box and by path on
+// its peers. It returns the responses and the names of the peers whose call failed.
+func callAll[A, R any](ctx context.Context, c *Cell, path string, request R, do func(context.Context, R) (A, error)) (answers []A, unresponsive []string) {
 	peers := c.Members.Peers()
-	got := make([]*A, len(peers)+1)
+	results := make([]*A, len(peers)+1)
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		if a, err := do(ctx, request); err == nil {
-			got[len(peers)] = &a
+			results[len(peers)] = &a
 		}
 	})
 	for i, p := range peers {
 		wg.Go(func() {
 			a, err := peer.Call[A](ctx, c.Client, p.Row.Peer, path, request)
 			if err == nil {
-				got[i] = &a
+				results[i] = &a
 			}
 		})
 	}
 	wg.Wait()
-	for i, a := range got {
+	for i, a := range results {
 		if a != nil {
 			answers = append(answers, *a)
 		} else {
-			silent = append(silent, peers[i].Row.Incarnation.Box())
+			unresponsive = append(unresponsive, peers[i].Row.Incarnation.Box())
 		}
 	}
-	return answers, silent
+	return answers, unresponsive
 }
 
-// Submission is a job to create, and the key by which the caller may hand it in
-// again without creating it again.
+// Submission is a request to create a job.
+//
+// The field names must not change: the stored digest of a submission covers its JSON
+// encoding.
 type Submission struct {
 	Request job.Request
-	Hall    string // "" leaves the choice to the box
-	Key     string
+	Hall    string // empty for any hall that the template allows
+	Key     string // optional idempotency key
 }
 
-// keyRow remembers which job a key created.
+// keyRow is the table row that maps an idempotency key to the job created with it.
 type keyRow struct {
 	Job    job.ID            `cbor:"1,keyasint"`
 	Digest [sha256.Size]byte `cbor:"2,keyasint"`
 }
 
-// KeyReusedError says that a key came with another job before.
+// KeyReusedError reports that an idempotency key was used before for a different job.
 type KeyReusedError struct{ Key string }
 
 func (e *KeyReusedError) Error() string {
-	return fmt.Sprintf("the key %q was used for a different job; use a new key for a new job", e.Key)
+	return fmt.Sprintf("idempotency key %q was already used for a different job; use a new key for each job", e.Key)
 }
 
-// Submit creates a job. When it returns without error the job is in the table
-// and will run, whatever becomes of this box. Created is false if the key's job
-// was there already.
+// Submit creates a job. When it returns without an error the job is stored in the table
+// and no longer depends on this box. Created is false if the job was created by an
+// earlier submission with the same key.
 func (c *Cell) Submit(ctx context.Context, account config.Account, s Submission) (id job.ID, created bool, err error) {
 	rev := c.Publisher.Current()
 	unit, err := c.reserveUnit(rev, s)
@@ -219,26 +223,27 @@
 	_, err = c.Inserts.Do(ctx, part)
 	var conflict *provider.ConflictError
 	if errors.As(err, &conflict) && s.Key != "" {
-		id, err := known(s, conflict.Have)
+		id, err := existingJob(s, conflict.Have)
 		return id, false, err
 	}
 	if err != nil {
 		return "", false, err
 	}
-	go c.notify(unit)
+	go c.notifyOwner(unit)
 	return j.ID, true, nil
 }
 
 func digest(s Submission) [sha256.Size]byte {
-	text, err := json.Marshal(s) // which writes maps in the order of their keys
+	text, err := json.Marshal(s) // deterministic: map keys are sorted
 	if err != nil {
-		panic(err) // the type holds nothing that JSON refuses
+		panic(err) // unreachable: every field has a JSON encoding
 	}
 	return sha256.Sum256(text)
 }
 
-// known returns the job that a key created before.
-func known(s Submission, row provider.Row) (job.ID, error) {
+// existingJob returns the job recorded in the row of the submission's key, or a
+// KeyReusedError if that job was created by a different submission.
+func existingJob(s Submission, row provider.Row) (job.ID, error) {
 	var k keyRow
 	if err := codec.Unmarshal(row.Value, &k); err != nil {
 		return "", &control.RowError{Key: row.Key, Cause: err}
@@ -249,26 +254,27 @@
 	return k.Job, nil
 }
 
-// notifyTimeout bounds a hint; the inbox is read anyway.
+// notifyTimeout bounds the notification of a unit's owner. A lost notification only
+// delays the job: the owner also polls the inbox.
 const notifyTimeout = time.Second
 
-func (c *Cell) notify(unit string) {
+func (c *Cell) notifyOwner(unit string) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	_, err := atOwner(ctx, c, unit, pathNotify, unit, c.notified)
+	_, err := callOwner(ctx, c, unit, pathNotify, unit, c.localNotify)
 	if err != nil {
-		c.Log.Debug().Err(err).Str("unit", unit).Msg("Owner could not be told of a job.")
+		c.Log.Debug().Err(err).Str("unit", unit).Msg("Failed to notify the unit's owner of a new job.")
 	}
 }
 
-func (c *Cell) notified(_ context.Context, unit string) (none, error) {
+func (c *Cell) localNotify(_ context.Context, unit string) (empty, error) {
 	if u := c.Units.Unit(unit); u != nil {
 		u.Notify()
 	}
-	return none{}, nil
+	return empty{}, nil
 }
 
-// NoUnitError says that no hall can run a job's tasks.
+// NoUnitError reports that no unit can run a job's tasks.
 type NoUnitError struct {
 	Template string
 	Hall     string
@@ -278,11 +284,11 @@
 	if e.Hall != "" {
 		return fmt.Sprintf("template %s may not run in hall %q", e.Template, e.Hall)
 	}
-	return fmt.Sprintf("no hall has a worker that is large enough for template %s", e.Template)
+	return fmt.Sprintf("no hall has a worker large enough for a task of template %s", e.Template)
 }
 
-// reserveUnit chooses the unit of a job and counts the job in at once, so that a
-// burst does not go to one unit that was empty a moment ago.
+// reserveUnit chooses the unit for a job and counts the job's tasks immediately, so that
+// a burst of submissions is not sent to one unit based on an outdated summary.
 func (c *Cell) reserveUnit(rev config.Revision, s Submission) (string, error) {
 	summaries := c.summaries()
 	c.mu.Lock()
@@ -295,14 +301,14 @@
 	if tasks == 0 {
 		tasks = rev.Set.Templates[s.Request.Template].Tasks
 	}
-	c.countSent(unit, tasks)
+	c.countRecent(unit, tasks)
 	return unit, nil
 }
 
-// chooseUnit returns the unit with the least work for its size among those in
-// which the job may run and that have a worker for it. What is known of units
-// is up to a second old; work sent since then is counted in. The caller holds
-// c.mu.
+// chooseUnit returns the unit with the lowest utilization among those in which the job
+// may run and that have a worker large enough for its tasks. If there is none it returns
+// a random unit among those that report no workers or have no summary. Utilization
+// includes tasks that this box submitted recently. The caller must hold c.mu.
 func (c *Cell) chooseUnit(rev config.Revision, s Submission, summaries map[string]hall.Summary) (string, error) {
 	t, known := rev.Set.Templates[s.Request.Template]
 	if !known {
@@ -311,50 +317,53 @@
 	if s.Hall != "" && !t.AllowsHall(s.Hall) {
 		return "", &NoUnitError{t.Name, s.Hall}
 	}
-	best, least, unheard := "", 0.0, []string{}
+	best, lowest, unreported := "", 0.0, []string{}
 	for _, h := range rev.Set.Halls {
 		if !t.AllowsHall(h.Name) || s.Hall != "" && s.Hall != h.Name {
 			continue
 		}
 		for _, unit := range control.UnitsOf(h) {
-			sum, heard := summaries[unit]
-			if !heard || sum.Workers == 0 {
-				unheard = append(unheard, unit)
+			summary, reported := summaries[unit]
+			if !reported || summary.Workers == 0 {
+				unreported = append(unreported, unit)
 				continue
 			}
-			if !t.Need.Fits(sum.Largest) {
+			if !t.Need.Fits(summary.Largest) {
 				continue
 			}
-			if f := c.fullness(sum, t); best == "" || f < least {
-				best, least = unit, f
+			if u := c.utilization(summary, t); best == "" || u < lowest {
+				best, lowest = unit, u
 			}
 		}
 	}
 	switch {
 	case best != "":
 		return best, nil
-	case len(unheard) > 0:
-		return unheard[rand.IntN(len(unheard))], nil
+	case len(unreported) > 0:
+		return unreported[rand.IntN(len(unreported))], nil
 	}
 	return "", &NoUnitError{t.Name, s.Hall}
 }
 
-// fullness returns how much of a unit is taken or spoken for, in shares of it.
-func (c *Cell) fullness(s hall.Summary, t config.Template) float64 {
-	waiting := int64(s.Waiting + c.sent[s.Unit].tasks)
+// utilization returns the dominant share of a unit's capacity that is granted to
+// tasks or requested by waiting ones. Each waiting task counts with the need of t.
+func (c *Cell) utilization(s hall.Summary, t config.Template) float64 {
+	waiting := int64(s.Waiting + c.recent[s.Unit].tasks)
 	return s.Used.Plus(t.Need.Times(waiting)).Dominant(s.Capacity)
 }
 
-func (c *Cell) countSent(unit string, tasks int) {
-	n := c.sent[unit]
-	if time.Since(n.heard) > time.Second {
-		n = sentTo{heard: time.Now()}
+// countRecent adds tasks to the unit's count, which restarts after one second. The caller
+// must hold c.mu.
+func (c *Cell) countRecent(unit string, tasks int) {
+	n := c.recent[unit]
+	if time.Since(n.since) > time.Second {
+		n = recentTasks{since: time.Now()}
 	}
 	n.tasks += tasks
-	c.sent[unit] = n
+	c.recent[unit] = n
 }
 
-// summaries returns what is known of every unit.
+// summaries returns the latest known summary of each unit, by unit.
 func (c *Cell) summaries() map[string]hall.Summary {
 	all := map[string]hall.Summary{}
 	add := func(s hall.Summary) {
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -8,12 +8,12 @@
 	"chutereach/job"
 )
 
-// A unit of this very box may not have taken a job from its inbox yet. Its word is then the
-// same as a peer's: the job is looked for in the table, and its caller gets no 500.
-func TestAnOwnersWordThatThereIsNoJob(t *testing.T) {
+// A local unit that has not yet read a job from its inbox must report it missing in the same
+// way as a remote one: the job is then read from the table instead of failing with status 500.
+func TestLocalNoJobErrorUnwraps(t *testing.T) {
 	want := &hall.NoJobError{ID: job.NewID("h")}
 	var got *hall.NoJobError
-	if err := error(noJob{want}); !errors.As(err, &got) || got != want {
+	if err := error(codedNoJobError{want}); !errors.As(err, &got) || got != want {
 		t.Errorf("%v is not found to be a NoJobError", err)
 	}
 }
--- a/cell/jobs.go
+++ b/cell/jobs.go
@@ -13,21 +13,21 @@
 	"chutereach/provider"
 )
 
-// Job returns the status of a job: from its unit's owner, or from the table
-// where there is none.
+// Job returns the status of a job. It asks the owner of the job's unit, and reads the
+// table if there is no owner, the owner does not answer or it does not know the job.
 func (c *Cell) Job(ctx context.Context, id job.ID) (hall.JobStatus, error) {
 	if !id.Valid() {
 		return hall.JobStatus{}, &hall.NoJobError{ID: id}
 	}
-	s, err := atOwner(ctx, c, id.Unit(), pathJob, id, c.ownJob)
+	s, err := callOwner(ctx, c, id.Unit(), pathJob, id, c.localJob)
 	var (
 		noOwner     *NoOwnerError
 		unreachable *peer.UnreachableError
 		lost        *peer.LostError
 	)
-	missing := errors.As(err, new(*hall.NoJobError)) || hasCode(err, CodeNoJob)
-	if missing || hasCode(err, CodeNoOwner) || errors.As(err, &noOwner) || errors.As(err, &unreachable) || errors.As(err, &lost) {
-		return c.fromTable(ctx, id)
+	notFound := errors.As(err, new(*hall.NoJobError)) || hasCode(err, CodeNoJob)
+	if notFound || hasCode(err, CodeNoOwner) || errors.As(err, &noOwner) || errors.As(err, &unreachable) || errors.As(err, &lost) {
+		return c.jobFromTable(ctx, id)
 	}
 	return s, err
 }
@@ -37,21 +37,21 @@
 	return errors.As(err, &f) && f.Code == code
 }
 
-func (c *Cell) ownJob(_ context.Context, id job.ID) (hall.JobStatus, error) {
+func (c *Cell) localJob(_ context.Context, id job.ID) (hall.JobStatus, error) {
 	u := c.Units.Unit(id.Unit())
 	if u == nil {
 		return hall.JobStatus{}, &NoOwnerError{id.Unit()}
 	}
 	s, found := u.Job(id)
 	if !found {
-		return s, noJob{&hall.NoJobError{ID: id}}
+		return s, codedNoJobError{&hall.NoJobError{ID: id}}
 	}
 	return s, nil
 }
 
-// fromTable reads a job as the table has it. It cannot tell which of its tasks
-// run: they count as waiting.
-func (c *Cell) fromTable(ctx context.Context, id job.ID) (hall.JobStatus, error) {
+// jobFromTable reads the status of a job from the table. The table does not record which
+// tasks are running, so they are reported as waiting.
+func (c *Cell) jobFromTable(ctx context.Context, id job.ID) (hall.JobStatus, error) {
 	table := c.Sender.Table()
 	row, err := table.Get(ctx, job.Key(id))
 	if err == nil && !row.Exists() {
@@ -67,13 +67,15 @@
 	if err != nil {
 		return hall.JobStatus{}, err
 	}
-	tasks, err := provider.ReadAll(ctx, table, job.TasksOf(id))
+	tasks, err := provider.ReadAll(ctx, table, job.JobTaskPrefix(id))
 	if err != nil {
 		return hall.JobStatus{}, err
 	}
 	return statusOf(j, tasks)
 }
 
+// statusOf returns the status of j given the rows of its tasks. Tasks without a row have
+// not been started.
 func statusOf(j job.Job, rows []provider.Row) (hall.JobStatus, error) {
 	s := hall.JobStatus{Job: j, Counts: map[job.State]int{}}
 	for i := range j.Tasks {
@@ -104,18 +106,18 @@
 	return s, nil
 }
 
-// Jobs returns the jobs of an account, or of all for "", and the boxes that did
-// not answer.
+// Jobs returns the jobs of an account, or of all accounts if account is empty, in order
+// of creation, and the names of the boxes that did not answer.
 func (c *Cell) Jobs(ctx context.Context, account string) ([]hall.JobStatus, []string) {
-	lists, silent := everywhere(ctx, c, pathJobs, account, c.ownJobs)
+	lists, unresponsive := callAll(ctx, c, pathJobs, account, c.localJobs)
 	all := slices.Concat(lists...)
 	slices.SortFunc(all, func(a, b hall.JobStatus) int {
 		return cmp.Or(a.Job.Created.Compare(b.Job.Created), cmp.Compare(a.Job.ID, b.Job.ID))
 	})
-	return all, silent
+	return all, unresponsive
 }
 
-func (c *Cell) ownJobs(_ context.Context, account string) ([]hall.JobStatus, error) {
+func (c *Cell) localJobs(_ context.Context, account string) ([]hall.JobStatus, error) {
 	var all []hall.JobStatus
 	for _, u := range c.Units.All() {
 		all = append(all, u.Jobs(account)...)
@@ -123,50 +125,51 @@
 	return all, nil
 }
 
-// Stop makes a job run no more.
+// Stop stops all tasks of a job.
 func (c *Cell) Stop(ctx context.Context, id job.ID) error {
-	_, err := atOwner(ctx, c, id.Unit(), pathStop, id, c.ownStop)
+	_, err := callOwner(ctx, c, id.Unit(), pathStop, id, c.localStop)
 	return err
 }
 
-func (c *Cell) ownStop(_ context.Context, id job.ID) (none, error) {
+func (c *Cell) localStop(_ context.Context, id job.ID) (empty, error) {
 	u := c.Units.Unit(id.Unit())
 	if u == nil {
-		return none{}, &NoOwnerError{id.Unit()}
+		return empty{}, &NoOwnerError{id.Unit()}
 	}
-	return none{}, coded(u.StopJob(id))
+	return empty{}, withCode(u.StopJob(id))
 }
 
-// Settlement is an operator's word on an unknown task.
+// Settlement is an operator's decision on the state of a task whose state is unknown.
 type Settlement struct {
 	Job   job.ID    `json:"job" cbor:"1,keyasint"`
 	Task  int       `json:"task" cbor:"2,keyasint"`
 	State job.State `json:"state" cbor:"3,keyasint"`
 }
 
-// Settle carries out an operator's word on an unknown task.
+// Settle sets the state of a task whose state is unknown, as decided by an operator.
 func (c *Cell) Settle(ctx context.Context, s Settlement) error {
-	_, err := atOwner(ctx, c, s.Job.Unit(), pathSettle, s, c.ownSettle)
+	_, err := callOwner(ctx, c, s.Job.Unit(), pathSettle, s, c.localSettle)
 	return err
 }
 
-func (c *Cell) ownSettle(_ context.Context, s Settlement) (none, error) {
+func (c *Cell) localSettle(_ context.Context, s Settlement) (empty, error) {
 	u := c.Units.Unit(s.Job.Unit())
 	if u == nil {
-		return none{}, &NoOwnerError{s.Job.Unit()}
+		return empty{}, &NoOwnerError{s.Job.Unit()}
 	}
-	return none{}, coded(u.Settle(s.Job, s.Task, s.State))
+	return empty{}, withCode(u.Settle(s.Job, s.Task, s.State))
 }
 
-// Workers returns every worker, and the boxes that did not answer.
+// Workers returns all workers, sorted by name, and the names of the boxes that did not
+// answer.
 func (c *Cell) Workers(ctx context.Context) ([]hall.WorkerStatus, []string) {
-	lists, silent := everywhere(ctx, c, pathWorkers, none{}, c.ownWorkers)
+	lists, unresponsive := callAll(ctx, c, pathWorkers, empty{}, c.localWorkers)
 	all := slices.Concat(lists...)
 	slices.SortFunc(all, func(a, b hall.WorkerStatus) int { return cmp.Compare(a.Name, b.Name) })
-	return all, silent
+	return all, unresponsive
 }
 
-func (c *Cell) ownWorkers(context.Context, none) ([]hall.WorkerStatus, error) {
+func (c *Cell) localWorkers(context.Context, empty) ([]hall.WorkerStatus, error) {
 	var all []hall.WorkerStatus
 	for _, u := range c.Units.All() {
 		all = append(all, u.Workers()...)
--- a/cell/status.go
+++ b/cell/status.go
@@ -14,18 +14,18 @@
 	"chutereach/transfer"
 )
 
-// Timeline returns the events of all boxes in causal order, and the boxes that
-// did not answer.
+// Timeline returns the events of all boxes in causal order, and the names of the boxes
+// that did not answer.
 func (c *Cell) Timeline(ctx context.Context, f timeline.Filter) (timeline.Page, []string) {
-	pages, silent := everywhere(ctx, c, pathTimeline, f, c.ownTimeline)
-	return timeline.Merge(pages...), silent
+	pages, unresponsive := callAll(ctx, c, pathTimeline, f, c.localTimeline)
+	return timeline.Merge(pages...), unresponsive
 }
 
-func (c *Cell) ownTimeline(_ context.Context, f timeline.Filter) (timeline.Page, error) {
+func (c *Cell) localTimeline(_ context.Context, f timeline.Filter) (timeline.Page, error) {
 	return c.Events.Read(f), nil
 }
 
-// BoxStatus is a box as the box that was asked sees it.
+// BoxStatus is the state of a box as seen by the box that answers.
 type BoxStatus struct {
 	Name        string    `json:"name"`
 	Incarnation string    `json:"incarnation"`
@@ -33,24 +33,24 @@
 	HTTP        string    `json:"http"`
 	State       BoxState  `json:"state"`
 	Revision    uint64    `json:"revision"`
-	InForce     time.Time `json:"in_force"` // since when
+	InForce     time.Time `json:"in_force"` // time at which Revision came into force
 	Units       []string  `json:"units"`
 }
 
-// BoxState says whether a box takes requests.
+// BoxState tells whether a box accepts requests.
 type BoxState string
 
-// The states of a box.
+// States of a box.
 const (
 	BoxReady    BoxState = "ready"
 	BoxNotReady BoxState = "not ready"
 	BoxLeaving  BoxState = "leaving"
-	BoxSilent   BoxState = "silent"
+	BoxSilent   BoxState = "silent" // it has not answered recently
 )
 
-// Status is the cell as the box that was asked sees it.
+// Status is the state of the cell as seen by the box that answers.
 type Status struct {
-	Asked     string         `json:"asked"` // the box that answers
+	Asked     string         `json:"asked"` // name of the box that answers
 	Revision  uint64         `json:"revision"`
 	Author    string         `json:"author"`
 	Boxes     []BoxStatus    `json:"boxes"`
@@ -59,13 +59,14 @@
 	Routes    []string       `json:"routes"`
 }
 
-// Status returns what this box knows without asking anyone.
+// Status returns the state of the cell as known to this box, without calls to others.
+// Ready tells whether this box accepts requests.
 func (c *Cell) Status(ready bool) Status {
 	rev := c.Publisher.Current()
 	s := Status{Asked: c.Self.Incarnation.Box(), Revision: rev.Number, Author: rev.Author}
-	s.Templates = names(rev.Set.Templates)
-	s.Routes = names(rev.Set.Routes)
-	s.Boxes = append(s.Boxes, c.ownStatus(ready))
+	s.Templates = sortedKeys(rev.Set.Templates)
+	s.Routes = sortedKeys(rev.Set.Routes)
+	s.Boxes = append(s.Boxes, c.localStatus(ready))
 	for _, p := range c.Members.Peers() {
 		b := BoxStatus{
 			Name: p.Row.Incarnation.Box(), Incarnation: string(p.Row.Incarnation), Hall: p.Row.Hall, HTTP: p.Row.HTTP,
@@ -85,13 +86,13 @@
 		s.Boxes = append(s.Boxes, b)
 	}
 	all := c.summaries()
-	for _, unit := range names(all) {
+	for _, unit := range sortedKeys(all) {
 		s.Units = append(s.Units, all[unit])
 	}
 	return s
 }
 
-func (c *Cell) ownStatus(ready bool) BoxStatus {
+func (c *Cell) localStatus(ready bool) BoxStatus {
 	b := BoxStatus{
 		Name: c.Self.Incarnation.Box(), Incarnation: string(c.Self.Incarnation), Hall: c.Self.Hall, HTTP: c.Self.HTTP,
 		State: BoxNotReady, Revision: c.Publisher.Current().Number, InForce: c.Publisher.Since(),
@@ -105,7 +106,8 @@
 	return b
 }
 
-// Propose accepts a change of configuration and pushes it to every box.
+// Propose publishes a change of the configuration and pushes the new revision to all
+// boxes in the background.
 func (c *Cell) Propose(ctx context.Context, p publish.Proposal) (config.Revision, error) {
 	r, err := c.Publisher.Propose(ctx, p)
 	if err != nil {
@@ -115,37 +117,36 @@
 	return r, nil
 }
 
-// pushQuiet is for how long nothing may move of a revision between boxes. A box that a push
-// does not reach reads the head, or asks its peers.
-const pushQuiet = 2 * time.Second
+// revisionStallTimeout is how long the transfer of a revision between boxes may make no
+// progress. A box that misses a push fetches the revision from the table or from a peer.
+const revisionStallTimeout = 2 * time.Second
 
 func (c *Cell) push(r config.Revision) {
-	ctx, cancel := transfer.WithStallLimit(context.Background(), pushQuiet, nil)
+	ctx, cancel := transfer.WithStallLimit(context.Background(), revisionStallTimeout, nil)
 	defer cancel()
-	everywhere(ctx, c, pathRevision, r, c.pushed)
+	callAll(ctx, c, pathRevision, r, c.applyRevision)
 }
 
-// CatchUp gets the newest revision that any peer has said it has.
+// CatchUp fetches revisions that peers report and that are newer than the current one.
 func (c *Cell) CatchUp() {
 	for _, p := range c.Members.Peers() {
 		c.Publisher.Heard(p.State.Revision, func() (config.Revision, error) {
-			ctx, cancel := transfer.WithStallLimit(context.Background(), pushQuiet, nil)
+			ctx, cancel := transfer.WithStallLimit(context.Background(), revisionStallTimeout, nil)
 			defer cancel()
-			return peer.Call[config.Revision](ctx, c.Client, p.Row.Peer, pathCurrent, none{})
+			return peer.Call[config.Revision](ctx, c.Client, p.Row.Peer, pathCurrent, empty{})
 		})
 	}
 }
 
-func (c *Cell) ownCurrent(context.Context, none) (config.Revision, error) {
+func (c *Cell) localRevision(context.Context, empty) (config.Revision, error) {
 	return c.Publisher.Current(), nil
 }
 
-func (c *Cell) pushed(_ context.Context, r config.Revision) (none, error) {
+func (c *Cell) applyRevision(_ context.Context, r config.Revision) (empty, error) {
 	c.Publisher.Apply(r)
-	return none{}, nil
+	return empty{}, nil
 }
 
-// names returns the keys of m in order.
-func names[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/job/job.go
+++ b/job/job.go
@@ -11,10 +11,10 @@
 	"chutereach/config"
 )
 
-// ID names a job, and with it the unit that owns the job: "chipre.d4...".
+// ID identifies a job and the unit that owns it. Its form is "unit.xid".
 type ID string
 
-// NewID returns a new id for a job of unit.
+// NewID returns a new unique ID for a job of unit.
 func NewID(unit string) ID { return ID(unit + "." + xid.New().String()) }
 
 // Unit returns the unit that owns the job.
@@ -23,7 +23,7 @@
 	return unit
 }
 
-// Valid reports whether id has the form of a job's id.
+// Valid reports whether id is well formed.
 func (id ID) Valid() bool {
 	unit, rest, found := strings.Cut(string(id), ".")
 	if !found || unit == "" || strings.Contains(unit, "/") {
@@ -33,7 +33,7 @@
 	return err == nil
 }
 
-// Job is work that an account handed in.
+// Job is a unit of work submitted by an account. It holds a copy of its template.
 type Job struct {
 	ID       ID                `json:"id" cbor:"1,keyasint"`
 	Account  string            `json:"account" cbor:"2,keyasint"`
@@ -42,34 +42,35 @@
 	Params   map[string]string `json:"params,omitempty" cbor:"5,keyasint,omitempty"`
 	Tasks    int               `json:"tasks" cbor:"6,keyasint"`
 	Created  time.Time         `json:"created" cbor:"7,keyasint"`
-	Start    time.Time         `json:"start,omitzero" cbor:"8,keyasint,omitempty"` // not before
-	Revision uint64            `json:"revision" cbor:"9,keyasint"`                 // of the configuration
+	Start    time.Time         `json:"start,omitzero" cbor:"8,keyasint,omitempty"` // earliest start
+	Revision uint64            `json:"revision" cbor:"9,keyasint"`                 // configuration revision of Template
 	Stopped  bool              `json:"stopped,omitempty" cbor:"10,keyasint,omitempty"`
 }
 
-// InvalidError says why a job cannot be created.
+// InvalidError reports that a job request is invalid.
 type InvalidError struct{ Reason string }
 
 func (e *InvalidError) Error() string { return e.Reason }
 
-// Request is what a caller asks for.
+// Request describes a job to create.
 type Request struct {
 	Template string            `json:"template"`
 	Params   map[string]string `json:"params,omitempty"`
-	Tasks    int               `json:"tasks,omitempty"` // 0 takes the template's
+	Tasks    int               `json:"tasks,omitempty"` // 0 for the number in the template
 	Start    time.Time         `json:"start,omitzero"`
 }
 
-// New creates a job of unit for an account, under a revision.
+// New returns a job of unit for an account, based on a configuration revision. It returns
+// an InvalidError if the request is invalid.
 func New(unit string, r Request, account config.Account, rev config.Revision, now time.Time) (Job, error) {
 	t, known := rev.Set.Templates[r.Template]
 	if !known {
-		return Job{}, &InvalidError{fmt.Sprintf("there is no template %q; see the templates in force with 'chutereach status'", r.Template)}
+		return Job{}, &InvalidError{fmt.Sprintf("there is no template %q; list the available templates with 'chutereach status'", r.Template)}
 	}
-	if !allowed(account, t.Name) {
-		return Job{}, &InvalidError{fmt.Sprintf("account %s may not use template %s", account.Name, t.Name)}
+	if !mayUseTemplate(account, t.Name) {
+		return Job{}, &InvalidError{fmt.Sprintf("account %s is not permitted to use template %s", account.Name, t.Name)}
 	}
-	params, err := merge(t, account.Params, r.Params)
+	params, err := mergeParams(t, account.Params, r.Params)
 	if err != nil {
 		return Job{}, err
 	}
@@ -78,7 +79,7 @@
 		tasks = t.Tasks
 	}
 	if tasks < 1 || tasks > config.MaxTasks {
-		return Job{}, &InvalidError{fmt.Sprintf("tasks must be 1 to %d", config.MaxTasks)}
+		return Job{}, &InvalidError{fmt.Sprintf("number of tasks must be between 1 and %d, got %d", config.MaxTasks, tasks)}
 	}
 	return Job{
 		ID: NewID(unit), Account: account.Name, Template: t, Scoring: rev.Set.Policies[t.Policy].Scoring,
@@ -86,7 +87,8 @@
 	}, nil
 }
 
-func allowed(a config.Account, template string) bool {
+// mayUseTemplate reports whether a lists template or has no list of templates.
+func mayUseTemplate(a config.Account, template string) bool {
 	for _, t := range a.Templates {
 		if t == template {
 			return true
@@ -95,11 +97,10 @@
 	return len(a.Templates) == 0
 }
 
-// merge takes the template's parameters from the account, and its inputs from
-// the request, which may also overlay parameters. A name that the template does
-// not know is an error: it is more often a misspelling than a wish to be
-// ignored.
-func merge(t config.Template, account, request map[string]string) (map[string]string, error) {
+// mergeParams returns the values of the template's parameters and inputs. Parameters come
+// from the account unless the request overrides them; inputs come from the request. Unknown
+// names in the request are rejected because they are probably misspelled.
+func mergeParams(t config.Template, account, request map[string]string) (map[string]string, error) {
 	params := map[string]string{}
 	for _, p := range t.Params {
 		v, given := request[p]
@@ -107,14 +108,14 @@
 			v, given = account[p]
 		}
 		if !given {
-			return nil, &InvalidError{fmt.Sprintf("template %s needs the parameter %q", t.Name, p)}
+			return nil, &InvalidError{fmt.Sprintf("template %s requires parameter %q, which neither the account nor the request sets", t.Name, p)}
 		}
 		params[p] = v
 	}
 	for _, p := range t.Inputs {
 		v, given := request[p]
 		if !given {
-			return nil, &InvalidError{fmt.Sprintf("template %s needs the input %q with each job", t.Name, p)}
+			return nil, &InvalidError{fmt.Sprintf("template %s requires input %q, which the request does not set", t.Name, p)}
 		}
 		params[p] = v
 	}
@@ -126,16 +127,16 @@
 	return params, nil
 }
 
-// WithStopped returns j marked as one that shall run no more.
+// WithStopped returns j marked as stopped.
 func (j Job) WithStopped() Job {
 	j.Stopped = true
 	return j
 }
 
-// WithTemplate returns a service's job under another form of its template. Its
-// replicas are replaced by and by.
+// WithTemplate returns the job of a service with a new version of its template. The caller
+// replaces the running replicas.
 func (j Job) WithTemplate(t config.Template, scoring config.Scoring, account config.Account, revision uint64) (Job, error) {
-	params, err := merge(t, account.Params, nil)
+	params, err := mergeParams(t, account.Params, nil)
 	if err != nil {
 		return j, err
 	}
@@ -143,26 +144,26 @@
 	return j, nil
 }
 
-// Key returns the key of j's row.
+// Key returns the table key of j.
 func (j Job) Key() string { return Key(j.ID) }
 
-// Key returns the key of the row of the job called id.
+// Key returns the table key of the job with the given ID.
 func Key(id ID) string { return Prefix(id.Unit()) + string(id) }
 
-// Prefix returns what the keys of a unit's jobs begin with.
+// Prefix returns the key prefix of a unit's jobs.
 func Prefix(unit string) string { return "job/" + unit + "/" }
 
-// InboxPrefix returns what the keys of a unit's inbox begin with. A row there
-// says that a job was inserted that the unit's owner may not have seen.
+// InboxPrefix returns the key prefix of a unit's inbox. The inbox holds submitted jobs that
+// the unit's owner may not have accepted yet.
 func InboxPrefix(unit string) string { return "inbox/" + unit + "/" }
 
-// InboxKey returns the key of id's row in its unit's inbox.
+// InboxKey returns the key of a job in the inbox of its unit.
 func InboxKey(id ID) string { return InboxPrefix(id.Unit()) + string(id) }
 
-// Encode returns j as the table keeps it.
+// Encode returns the table row of j.
 func (j Job) Encode() []byte { return codec.MustMarshal(j) }
 
-// Decode reads a job's row.
+// Decode decodes the table row of a job.
 func Decode(row []byte) (Job, error) {
 	var j Job
 	err := codec.Unmarshal(row, &j)
--- a/job/task_test.go
+++ b/job/task_test.go
@@ -9,7 +9,7 @@
 
 var noon = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func TestWhatBecomesOfATask(t *testing.T) {
+func TestTaskTransitions(t *testing.T) {
 	always := config.Template{Form: config.FormBatch, Repeat: config.RepeatAlways, Attempts: 2}
 	never := config.Template{Form: config.FormBatch, Repeat: config.RepeatNever, Attempts: 2}
 	resume := config.Template{Form: config.FormBatch, Repeat: config.RepeatCheckpoint, Attempts: 2}
@@ -28,19 +28,19 @@
 		steps []func(Task) Task
 		want  State
 	}{
-		{"ends well", []func(Task) Task{end(always, true)}, Done},
+		{"succeeds", []func(Task) Task{end(always, true)}, Done},
 		{"fails once", []func(Task) Task{end(always, false)}, Waiting},
-		{"fails too often", []func(Task) Task{end(always, false), end(always, false)}, Failed},
-		{"fails and may not be repeated", []func(Task) Task{end(never, false)}, Failed},
-		{"replica ends well", []func(Task) Task{end(service, true)}, Waiting},
+		{"fails and has no attempts left", []func(Task) Task{end(always, false), end(always, false)}, Failed},
+		{"fails and must not be repeated", []func(Task) Task{end(never, false)}, Failed},
+		{"replica succeeds", []func(Task) Task{end(service, true)}, Waiting},
 		{"replica fails", []func(Task) Task{end(service, false)}, Waiting},
 		{"is lost", []func(Task) Task{loss(always, "")}, Waiting},
-		{"its workers reboot twice", []func(Task) Task{reboot(time.Second), reboot(time.Second)}, Waiting},
-		{"its workers reboot three times", []func(Task) Task{reboot(time.Second), reboot(time.Second), reboot(time.Second)}, Failed},
-		{"its workers reboot now and then", []func(Task) Task{reboot(time.Second), reboot(time.Second), reboot(time.Hour), reboot(time.Second)}, Waiting},
-		{"its workers reboot, with an end that it listed in between", []func(Task) Task{reboot(time.Second), reboot(time.Second), end(always, false), reboot(time.Second)}, Waiting},
-		{"is a replica, and its workers reboot", []func(Task) Task{reboot(time.Second), reboot(time.Second), func(t Task) Task { return t.WithReboot(service, noon) }}, Waiting},
-		{"is lost and may not be repeated", []func(Task) Task{loss(never, "")}, Unknown},
+		{"two consecutive reboots", []func(Task) Task{reboot(time.Second), reboot(time.Second)}, Waiting},
+		{"three consecutive reboots", []func(Task) Task{reboot(time.Second), reboot(time.Second), reboot(time.Second)}, Failed},
+		{"late reboot resets the count", []func(Task) Task{reboot(time.Second), reboot(time.Second), reboot(time.Hour), reboot(time.Second)}, Waiting},
+		{"completed attempt resets the count", []func(Task) Task{reboot(time.Second), reboot(time.Second), end(always, false), reboot(time.Second)}, Waiting},
+		{"replica after three consecutive reboots", []func(Task) Task{reboot(time.Second), reboot(time.Second), func(t Task) Task { return t.WithReboot(service, noon) }}, Waiting},
+		{"is lost and must not be repeated", []func(Task) Task{loss(never, "")}, Unknown},
 		{"is lost without a checkpoint", []func(Task) Task{loss(resume, "")}, Unknown},
 		{"is lost after a checkpoint", []func(Task) Task{loss(resume, "c"), loss(resume, "")}, Waiting},
 	} {
@@ -54,20 +54,20 @@
 			}
 			back, err := DecodeTask(task.Encode())
 			if err != nil || back.State != task.State || !back.Changed.Equal(task.Changed) || back.Attempts != task.Attempts {
-				t.Errorf("read back: %+v, %v", back, err)
+				t.Errorf("decoded %+v, %v; want %+v", back, err, task)
 			}
 		})
 	}
 }
 
-func TestAttemptNames(t *testing.T) {
+func TestParseAttempt(t *testing.T) {
 	a := AttemptID{NewID("chipre-u2"), 7, 3}
 	if got, err := ParseAttempt(a.String()); err != nil || got != a {
-		t.Errorf("%s reads as %v, %v", a, got, err)
+		t.Errorf("ParseAttempt(%q) = %v, %v; want %v", a, got, err, a)
 	}
 	for _, text := range []string{"", "x", "chipre.d4k1", "chipre.9m4e2mr0ui3e8a215n4g/0", "chipre.9m4e2mr0ui3e8a215n4g/-1/1", "chipre.9m4e2mr0ui3e8a215n4g/0/0", "a/b.9m4e2mr0ui3e8a215n4g/0/1"} {
 		if got, err := ParseAttempt(text); err == nil {
-			t.Errorf("%q reads as %v", text, got)
+			t.Errorf("ParseAttempt(%q) = %v, want an error", text, got)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 			return
 		}
 		if again, err := ParseAttempt(a.String()); err != nil || again != a {
-			t.Errorf("%q reads as %v, then as %v, %v", text, a, again, err)
+			t.Errorf("%q parses as %v, whose text form parses as %v, %v", text, a, again, err)
 		}
 	})
 }
