--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,8 +1,9 @@
-// Package ledger knows what of a worker is granted to which attempt.
+// Package ledger records the resources that a worker has granted to attempts.
 //
-// A Ledger is an immutable aggregate with one rule: the grants never exceed the
-// worker. It is the record of placement: an attempt is placed when a ledger
-// with its grant is committed, and its room is free when one without it is.
+// A Ledger is immutable, and a grant is only added if it fits into the worker's free
+// capacity. Ledgers are the authoritative record of placement: an attempt is placed once a
+// ledger with its grant is committed, and its resources are free once a ledger without the
+// grant is committed.
 package ledger
 
 import (
@@ -14,42 +15,41 @@
 	"chutereach/resource"
 )
 
-// Grant gives room on a worker to one attempt.
+// Grant assigns resources of a worker to one attempt.
 type Grant struct {
 	Attempt string          `cbor:"1,keyasint"`
 	Need    resource.Amount `cbor:"2,keyasint"`
 	Lease   time.Duration   `cbor:"3,keyasint"`
-	// Boot is the worker's boot when the grant was made. A worker that has
-	// booted since runs the attempt no more.
+	// Boot identifies the worker's boot at the time of the grant. The attempt does not
+	// survive a reboot of the worker.
 	Boot string `cbor:"4,keyasint"`
-	// Revision is that of the template under which the attempt was started.
+	// Revision is the configuration revision of the template used for the attempt.
 	Revision uint64 `cbor:"5,keyasint"`
 }
 
-// Ledger is a worker and what it has granted.
+// Ledger is a worker and its grants.
 type Ledger struct {
 	worker provider.Worker
 	grants []Grant
 	used   resource.Amount
 }
 
-// New returns the ledger of a worker that has granted nothing.
+// New returns the ledger of a worker without grants.
 func New(w provider.Worker) Ledger { return Ledger{worker: w} }
 
-// Worker returns the worker.
 func (l Ledger) Worker() provider.Worker { return l.worker }
 
-// Grants returns the grants, which the caller must not change.
+// Grants returns the grants. The caller must not modify the slice.
 func (l Ledger) Grants() []Grant { return l.grants }
 
 // Used returns the sum of the grants.
 func (l Ledger) Used() resource.Amount { return l.used }
 
-// Free returns what can still be granted. It is negative in part where a worker
-// came back smaller than it was.
+// Free returns the resources that can still be granted. Amounts are negative if the
+// worker's capacity has shrunk below its grants.
 func (l Ledger) Free() resource.Amount { return l.worker.Capacity.Minus(l.used) }
 
-// OverCapacityError says that a grant would exceed a worker.
+// OverCapacityError reports that a grant is invalid or exceeds the free capacity of a worker.
 type OverCapacityError struct {
 	Worker string
 	Kind   resource.Kind
@@ -58,34 +58,35 @@
 }
 
 func (e *OverCapacityError) Error() string {
-	return fmt.Sprintf("worker %s has too little %s: %v asked for, %v free", e.Worker, e.Kind, e.Need, e.Free)
+	return fmt.Sprintf("worker %s has insufficient %s: requested %v, free %v", e.Worker, e.Kind, e.Need, e.Free)
 }
 
-// DuplicateError says that an attempt has its grant already.
-type DuplicateError struct {
+// DuplicateGrantError reports that an attempt already has a grant.
+type DuplicateGrantError struct {
 	Worker, Attempt string
 }
 
-func (e *DuplicateError) Error() string {
-	return fmt.Sprintf("worker %s has granted room to %s already", e.Worker, e.Attempt)
+func (e *DuplicateGrantError) Error() string {
+	return fmt.Sprintf("worker %s already has a grant for attempt %s", e.Worker, e.Attempt)
 }
 
-// MissingError says that an attempt has no grant.
-type MissingError struct {
+// NoGrantError reports that an attempt has no grant.
+type NoGrantError struct {
 	Worker, Attempt string
 }
 
-func (e *MissingError) Error() string {
-	return fmt.Sprintf("worker %s has granted nothing to %s", e.Worker, e.Attempt)
+func (e *NoGrantError) Error() string {
+	return fmt.Sprintf("worker %s has no grant for attempt %s", e.Worker, e.Attempt)
 }
 
-// WithGrant returns l with g added.
+// WithGrant returns l with g added. It returns l unchanged and an OverCapacityError or a
+// DuplicateGrantError if g cannot be added.
 func (l Ledger) WithGrant(g Grant) (Ledger, error) {
 	if kind, lacking := g.Need.Lacking(l.Free()); lacking || !g.Need.Valid() {
 		return l, &OverCapacityError{l.worker.Name, kind, g.Need, l.Free()}
 	}
-	if l.find(g.Attempt) >= 0 {
-		return l, &DuplicateError{l.worker.Name, g.Attempt}
+	if l.indexOf(g.Attempt) >= 0 {
+		return l, &DuplicateGrantError{l.worker.Name, g.Attempt}
 	}
 	grants := make([]Grant, len(l.grants), len(l.grants)+1)
 	copy(grants, l.grants)
@@ -94,11 +95,11 @@
 	return l, nil
 }
 
-// WithRelease returns l without attempt's grant.
+// WithRelease returns l without the grant of attempt, or l unchanged and a NoGrantError.
 func (l Ledger) WithRelease(attempt string) (Ledger, error) {
-	i := l.find(attempt)
+	i := l.indexOf(attempt)
 	if i < 0 {
-		return l, &MissingError{l.worker.Name, attempt}
+		return l, &NoGrantError{l.worker.Name, attempt}
 	}
 	grants := make([]Grant, 0, len(l.grants)-1)
 	grants = append(grants, l.grants[:i]...)
@@ -107,14 +108,14 @@
 	return l, nil
 }
 
-// WithWorker returns l for the worker as the platform describes it now. Grants
-// stay, even where the worker has shrunk below them: only their end frees room.
+// WithWorker returns l with an updated description of the worker. All grants are kept, even
+// if they exceed the new capacity; resources are only freed by WithRelease.
 func (l Ledger) WithWorker(w provider.Worker) Ledger {
 	l.worker = w
 	return l
 }
 
-func (l Ledger) find(attempt string) int {
+func (l Ledger) indexOf(attempt string) int {
 	for i := range l.grants {
 		if l.grants[i].Attempt == attempt {
 			return i
@@ -123,22 +124,22 @@
 	return -1
 }
 
-// Prefix returns what the keys of a unit's ledgers begin with.
+// Prefix returns the key prefix of a unit's ledgers.
 func Prefix(unit string) string { return "ledger/" + unit + "/" }
 
-// Key returns the key of a worker's ledger.
+// Key returns the table key of a worker's ledger.
 func Key(unit, worker string) string { return Prefix(unit) + worker }
 
-// row is a ledger as the table keeps it.
+// row is the stored form of a Ledger.
 type row struct {
 	Worker provider.Worker `cbor:"1,keyasint"`
 	Grants []Grant         `cbor:"2,keyasint"`
 }
 
-// Encode returns l as the table keeps it.
+// Encode returns the table row of l.
 func (l Ledger) Encode() []byte { return codec.MustMarshal(row{l.worker, l.grants}) }
 
-// Decode reads a ledger's row.
+// Decode decodes the table row of a ledger.
 func Decode(data []byte) (Ledger, error) {
 	var r row
 	if err := codec.Unmarshal(data, &r); err != nil {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -16,9 +16,9 @@
 
 var worker = provider.Worker{Name: "w", Capacity: resource.Amount{CPU: 16_000, Memory: 64 << 30, Accelerators: 2}}
 
-// Whatever is asked of a ledger, its grants never exceed the worker, it is the
-// sum of its grants, and its row reads back the same.
-func TestGrantsNeverExceedTheWorker(t *testing.T) {
+// After any sequence of grants and releases the grants fit into the worker's capacity, Used
+// is their sum, and the encoded ledger decodes to the same grants.
+func TestGrantsNeverExceedCapacity(t *testing.T) {
 	proptest.Check(t, func(r *rapid.T) {
 		l := New(worker)
 		for i := range rapid.IntRange(1, 40).Draw(r, "steps") {
@@ -26,7 +26,7 @@
 			before := l.Used()
 			if rapid.Bool().Draw(r, fmt.Sprint("release ", i)) {
 				next, err := l.WithRelease(attempt)
-				var missing *MissingError
+				var missing *NoGrantError
 				if err != nil && (!errors.As(err, &missing) || next.Used() != before) {
 					r.Fatalf("release: %v", err)
 				}
@@ -40,7 +40,7 @@
 			}
 			next, err := l.WithGrant(Grant{Attempt: attempt, Need: need, Lease: time.Minute, Boot: "b"})
 			if err != nil && next.Used() != before {
-				r.Fatalf("a refused grant changed the ledger")
+				r.Fatalf("a rejected grant changed the ledger: used %v, was %v", next.Used(), before)
 			}
 			l = next
 		}
@@ -49,11 +49,11 @@
 			sum = sum.Plus(g.Need)
 		}
 		if kind, over := l.Used().Lacking(worker.Capacity); over || sum != l.Used() {
-			r.Fatalf("used %v of %v (%s), grants sum up to %v", l.Used(), worker.Capacity, kind, sum)
+			r.Fatalf("used %v of %v (%s), sum of grants is %v", l.Used(), worker.Capacity, kind, sum)
 		}
 		back, err := Decode(l.Encode())
 		if err != nil || back.Used() != l.Used() || len(l.Grants()) > 0 && !reflect.DeepEqual(back.Grants(), l.Grants()) {
-			r.Fatalf("read back: %+v, %v", back, err)
+			r.Fatalf("decoded %+v, %v; want %+v", back, err, l)
 		}
 	})
 }
