--- a/commit/commit.go
+++ b/commit/commit.go
@@ -1,6 +1,5 @@
-// Package commit sends transactions to the platform's table until their fate is
-// known, at the rate that the table allows, and gathers small ones into larger
-// ones.
+// Package commit sends transactions to the platform's table. It retries them until their
+// outcome is known, limits their rate, and batches small ones into larger ones.
 package commit
 
 import (
@@ -18,66 +17,66 @@
 )
 
 const (
-	firstRetry = 20 * time.Millisecond
-	lastRetry  = 2 * time.Second
+	initialRetryDelay = 20 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
-// UndecidedError says that the caller gave up before a transaction's fate was
-// known. It may have taken effect and may still do so.
+// UndecidedError reports that the outcome of a transaction was still unknown when its
+// context ended. The transaction may have been applied or may still be applied.
 type UndecidedError struct {
 	Txn   string
 	Cause error
 }
 
 func (e *UndecidedError) Error() string {
-	return fmt.Sprintf("it is not known whether transaction %s took effect: %v", e.Txn, e.Cause)
+	return fmt.Sprintf("transaction %s: outcome unknown, it may have been applied: %v", e.Txn, e.Cause)
 }
 
 func (e *UndecidedError) Unwrap() error { return e.Cause }
 
-// AbandonedError says that the caller gave up on a transaction that surely had
-// no effect.
+// AbandonedError reports that a transaction was not applied, and never will be, because its
+// context ended first.
 type AbandonedError struct {
 	Txn   string
 	Cause error
 }
 
 func (e *AbandonedError) Error() string {
-	return fmt.Sprintf("transaction %s was not carried out: %v", e.Txn, e.Cause)
+	return fmt.Sprintf("transaction %s: not applied: %v", e.Txn, e.Cause)
 }
 
 func (e *AbandonedError) Unwrap() error { return e.Cause }
 
-// Stats counts what a Sender did.
+// Stats holds the counters of a Sender.
 type Stats struct {
 	Sent      atomic.Int64 // requests to the table
-	Resent    atomic.Int64 // of them, repeats
-	ReadBack  atomic.Int64 // transactions found to have applied unheard
-	Conflicts atomic.Int64
+	Resent    atomic.Int64 // retries among Sent
+	ReadBack  atomic.Int64 // transactions without a response that reads showed to be applied
+	Conflicts atomic.Int64 // transactions that failed with a conflict
 }
 
-// Sender sends transactions to a table.
+// Sender sends transactions to a table at a limited rate.
 type Sender struct {
 	table provider.Table
 	limit *rate.Limiter
 	Stats Stats
 }
 
-// NewSender returns a Sender that sends to table no faster than limit.
+// NewSender returns a Sender for table with the given rate limit.
 func NewSender(table provider.Table, limit *rate.Limiter) *Sender {
 	return &Sender{table: table, limit: limit}
 }
 
-// Table returns the table to read from.
+// Table returns the table, for reads.
 func (s *Sender) Table() provider.Table { return s.table }
 
-// Wait blocks until the rate limit allows one more transaction. A caller that
-// gathers a batch waits first and gathers after, so that batches grow as the
-// limit nears; it then calls DoNow.
+// Wait blocks until the rate limit permits another transaction. Callers that build batches
+// call Wait before they collect a batch and send it with DoNow, so that batches grow when
+// the rate is limited.
 func (s *Sender) Wait(ctx context.Context) error { return s.limit.Wait(ctx) }
 
-// Do sends t until its fate is known or ctx ends. It returns the version of the
-// rows written, or a ConflictError, an AbandonedError or an UndecidedError.
+// Do sends t, with retries, until its outcome is known or ctx ends. It returns the version
+// of the written rows, or a provider.ConflictError, an AbandonedError or an UndecidedError.
 func (s *Sender) Do(ctx context.Context, t provider.Txn) (uint64, error) {
 	if err := s.Wait(ctx); err != nil {
 		return 0, &AbandonedError{t.ID, err}
@@ -85,15 +84,14 @@
 	return s.DoNow(ctx, t)
 }
 
-// DoNow is Do for a caller that has waited already.
+// DoNow is like Do but does not call Wait.
 //
-// The same transaction, with the same conditions, is sent until it has an
-// answer. A copy that the table takes up late conflicts with the one that was
-// heard, so sending it often does no harm.
+// Retries are safe because each sends the same transaction with the same conditions: if one
+// request is applied, a delayed duplicate fails with a conflict.
 func (s *Sender) DoNow(ctx context.Context, t provider.Txn) (uint64, error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = firstRetry, lastRetry
-	open := false // an earlier sending may have taken effect
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.MaxInterval = initialRetryDelay, maxRetryDelay
+	mayHaveApplied := false // whether an earlier request may have been applied
 	for {
 		s.Stats.Sent.Add(1)
 		version, err := s.table.Commit(ctx, t)
@@ -102,26 +100,28 @@
 		}
 		var conflict *provider.ConflictError
 		if errors.As(err, &conflict) {
-			if !open {
+			if !mayHaveApplied {
 				s.Stats.Conflicts.Add(1)
 				return 0, conflict
 			}
-			version, applied, backErr := s.readBack(ctx, t, conflict)
-			if backErr == nil {
-				return s.settle(version, applied, conflict)
+			version, applied, readErr := s.readBack(ctx, t, conflict)
+			if readErr == nil {
+				return s.resolveConflict(version, applied, conflict)
 			}
-			err = backErr
+			err = readErr
 		} else if !provider.NotApplied(err) {
-			open = true
+			mayHaveApplied = true
 		}
-		if wait.For(ctx, max(pause.NextBackOff(), provider.RetryAfter(err))) != nil {
-			return 0, gaveUp(t, open, err)
+		if wait.For(ctx, max(retry.NextBackOff(), provider.RetryAfter(err))) != nil {
+			return 0, gaveUpError(t, mayHaveApplied, err)
 		}
 		s.Stats.Resent.Add(1)
 	}
 }
 
-func (s *Sender) settle(version uint64, applied bool, conflict *provider.ConflictError) (uint64, error) {
+// resolveConflict returns the outcome of a transaction that conflicted after an earlier
+// request may have been applied.
+func (s *Sender) resolveConflict(version uint64, applied bool, conflict *provider.ConflictError) (uint64, error) {
 	if applied {
 		s.Stats.ReadBack.Add(1)
 		return version, nil
@@ -130,23 +130,23 @@
 	return 0, conflict
 }
 
-func gaveUp(t provider.Txn, open bool, cause error) error {
-	if open {
+// gaveUpError returns the error for a transaction whose context ended.
+func gaveUpError(t provider.Txn, mayHaveApplied bool, cause error) error {
+	if mayHaveApplied {
 		return &UndecidedError{t.ID, cause}
 	}
 	return &AbandonedError{t.ID, cause}
 }
 
-// readBack tells whether t took effect: whether a row that it wrote still names
-// it. A transaction whose every row was written over since looks as if it had
-// not; callers whose rows others may write must have a way of their own to tell.
-// One that only removes rows leaves no trace: it counts as applied if they are
-// all gone, which is what it was for.
+// readBack reads the rows of t to determine whether t was applied, which is the case if a
+// row carries its transaction ID. It wrongly reports false if all of the rows have been
+// overwritten since; callers whose rows have other writers must detect this themselves. A
+// transaction that only deletes rows counts as applied if none of them exists.
 func (s *Sender) readBack(ctx context.Context, t provider.Txn, c *provider.ConflictError) (version uint64, applied bool, err error) {
 	if c.Have.Txn == t.ID {
-		return c.Have.Version, true, nil // the conflict is with itself
+		return c.Have.Version, true, nil // t conflicts with its own earlier request
 	}
-	puts, gone := 0, true
+	puts, allDeleted := 0, true
 	for _, w := range t.Writes {
 		row, err := s.table.Get(ctx, w.Key)
 		if err != nil {
@@ -156,10 +156,10 @@
 			return row.Version, true, nil
 		}
 		if w.Delete {
-			gone = gone && !row.Exists()
+			allDeleted = allDeleted && !row.Exists()
 		} else {
 			puts++
 		}
 	}
-	return 0, puts == 0 && gone, nil
+	return 0, puts == 0 && allDeleted, nil
 }
--- a/commit/group.go
+++ b/commit/group.go
@@ -10,94 +10,96 @@
 	"chutereach/provider"
 )
 
-// Part is one caller's share of a group's transaction.
+// Part holds the conditions and writes that one caller adds to a transaction of a Group.
 type Part struct {
 	Conds  []provider.Cond
 	Writes []provider.Write
 }
 
-// Insert returns p with one more row that must be absent.
+// Insert returns p with the insertion of a row that must not exist.
 func (p Part) Insert(key string, value []byte) Part {
 	p.Conds = append(p.Conds, provider.Cond{Key: key})
 	p.Writes = append(p.Writes, provider.Write{Key: key, Value: value})
 	return p
 }
 
-// Remove returns p with one more row that must be at version, and goes.
+// Remove returns p with the deletion of a row that must be at version.
 func (p Part) Remove(key string, version uint64) Part {
 	p.Conds = append(p.Conds, provider.Cond{Key: key, Version: version})
 	p.Writes = append(p.Writes, provider.Write{Key: key, Delete: true})
 	return p
 }
 
-// Put returns p with one more row that must be at version.
+// Put returns p with the replacement of a row that must be at version.
 func (p Part) Put(key string, version uint64, value []byte) Part {
 	p.Conds = append(p.Conds, provider.Cond{Key: key, Version: version})
 	p.Writes = append(p.Writes, provider.Write{Key: key, Value: value})
 	return p
 }
 
-// maxGroupRows bounds a transaction of a group.
+// maxGroupRows is the maximum number of rows in a batch of more than one part.
 const maxGroupRows = 500
 
-// Group gathers the parts of many callers into few transactions. While one is
-// on its way the next gathers, so that the batch grows as the table slows.
+// Group implements group commit: it batches the parts of concurrent callers into one
+// transaction. Parts queue while transactions are in flight, so batches grow with the
+// table's latency.
 type Group struct {
-	sender *Sender
-	mu     sync.Mutex
-	parts  []*waiting
-	wake   chan struct{}
+	sender  *Sender
+	mu      sync.Mutex
+	pending []*pendingPart
+	wake    chan struct{}
 }
 
-type waiting struct {
+// pendingPart is a part whose outcome is not known yet.
+type pendingPart struct {
 	part Part
-	done chan fate // has room for the one answer
+	done chan outcome // buffered, so that completing a part never blocks
 }
 
-// fate is what became of a part.
-type fate struct {
+// outcome is the result of a part.
+type outcome struct {
 	version uint64
 	err     error
 }
 
-// NewGroup returns a Group that sends by s. Run must be called.
+// NewGroup returns a Group that sends through s. Nothing is sent until Run is called.
 func NewGroup(s *Sender) *Group {
 	return &Group{sender: s, wake: make(chan struct{}, 1)}
 }
 
-// Do adds p to the next transaction and waits for its fate: the version of its
-// rows, a ConflictError for one of p's own conditions, an AbandonedError or an
-// UndecidedError. A caller whose ctx ends does not know the fate.
+// Do queues p for the next transaction and waits for its outcome: the version of the
+// written rows, a provider.ConflictError for one of p's own conditions, an AbandonedError
+// or an UndecidedError. It returns an UndecidedError if ctx ends first.
 func (g *Group) Do(ctx context.Context, p Part) (uint64, error) {
-	w := &waiting{p, make(chan fate, 1)}
+	w := &pendingPart{p, make(chan outcome, 1)}
 	g.mu.Lock()
-	g.parts = append(g.parts, w)
+	g.pending = append(g.pending, w)
 	g.mu.Unlock()
 	select {
 	case g.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case f := <-w.done:
-		return f.version, f.err
+	case o := <-w.done:
+		return o.version, o.err
 	case <-ctx.Done():
-		return 0, &UndecidedError{"of a group", ctx.Err()}
+		return 0, &UndecidedError{"(batched)", ctx.Err()}
 	}
 }
 
-// Run sends transactions until ctx ends, lanes of them at a time.
-func (g *Group) Run(ctx context.Context, lanes int) {
+// Run sends transactions, up to concurrency at a time, until ctx ends.
+func (g *Group) Run(ctx context.Context, concurrency int) {
 	var wg sync.WaitGroup
-	for range lanes {
-		wg.Go(func() { g.lane(ctx) })
+	for range concurrency {
+		wg.Go(func() { g.runSender(ctx) })
 	}
 	wg.Wait()
-	for parts := g.take(); len(parts) > 0; parts = g.take() {
-		g.answer(parts, fate{0, &AbandonedError{"of a group", context.Cause(ctx)}})
+	for parts := g.nextBatch(); len(parts) > 0; parts = g.nextBatch() {
+		g.complete(parts, outcome{0, &AbandonedError{"(batched)", context.Cause(ctx)}})
 	}
 }
 
-func (g *Group) lane(ctx context.Context) {
+func (g *Group) runSender(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -107,21 +109,22 @@
 		if g.sender.Wait(ctx) != nil {
 			return
 		}
-		g.send(ctx, g.take())
+		g.send(ctx, g.nextBatch())
 	}
 }
 
-// take removes as many waiting parts as fit one transaction. Parts with a row in
-// common go into different ones: in one, each would find its conditions true,
-// and two callers would claim one key. If more wait it wakes another lane.
-func (g *Group) take() []*waiting {
+// nextBatch removes as many parts from the queue as fit into one transaction, and wakes
+// another sender if parts remain. Parts that share a row are put into different
+// transactions: within one, the conditions of both would hold, and both callers would be
+// told that their write succeeded.
+func (g *Group) nextBatch() []*pendingPart {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var taken, rest []*waiting
+	var batch, rest []*pendingPart
 	keys := map[string]bool{}
-	for i, w := range g.parts {
-		if len(taken) > 0 && len(keys)+len(w.part.Conds) > maxGroupRows {
-			rest = append(rest, g.parts[i:]...)
+	for i, w := range g.pending {
+		if len(batch) > 0 && len(keys)+len(w.part.Conds) > maxGroupRows {
+			rest = append(rest, g.pending[i:]...)
 			break
 		}
 		if overlaps(w.part, keys) {
@@ -131,21 +134,21 @@
 		for _, c := range w.part.Conds {
 			keys[c.Key] = true
 		}
-		taken = append(taken, w)
+		batch = append(batch, w)
 	}
-	g.parts = rest
-	if len(g.parts) > 0 {
+	g.pending = rest
+	if len(g.pending) > 0 {
 		select {
 		case g.wake <- struct{}{}:
 		default:
 		}
 	}
-	return taken
+	return batch
 }
 
-// send commits parts together. A part that conflicts is answered and left out,
-// and the others are sent again.
-func (g *Group) send(ctx context.Context, parts []*waiting) {
+// send commits parts in one transaction. If it conflicts, the parts with the failed
+// condition are completed with the conflict and the others are sent again.
+func (g *Group) send(ctx context.Context, parts []*pendingPart) {
 	for len(parts) > 0 {
 		t := provider.Txn{ID: xid.New().String()}
 		for _, w := range parts {
@@ -155,23 +158,25 @@
 		version, err := g.sender.DoNow(ctx, t)
 		var conflict *provider.ConflictError
 		if !errors.As(err, &conflict) {
-			g.answer(parts, fate{version, err})
+			g.complete(parts, outcome{version, err})
 			return
 		}
-		rest := g.reject(parts, conflict)
+		rest := g.rejectConflicting(parts, conflict)
 		if len(rest) == len(parts) {
-			g.answer(parts, fate{0, conflict}) // a conflict of none of them: do not spin
+			g.complete(parts, outcome{0, conflict}) // no part has the condition: avoid an endless loop
 			return
 		}
 		parts = rest
 	}
 }
 
-func (g *Group) reject(parts []*waiting, conflict *provider.ConflictError) []*waiting {
-	var rest []*waiting
+// rejectConflicting completes the parts that have the condition of conflict and returns the
+// others.
+func (g *Group) rejectConflicting(parts []*pendingPart, conflict *provider.ConflictError) []*pendingPart {
+	var rest []*pendingPart
 	for _, w := range parts {
 		if hasCond(w.part, conflict.Key) {
-			w.done <- fate{0, conflict}
+			w.done <- outcome{0, conflict}
 			continue
 		}
 		rest = append(rest, w)
@@ -197,8 +202,8 @@
 	return false
 }
 
-func (g *Group) answer(parts []*waiting, f fate) {
+func (g *Group) complete(parts []*pendingPart, o outcome) {
 	for _, w := range parts {
-		w.done <- f
+		w.done <- o
 	}
 }
