--- a/cell/cell.go
+++ b/cell/cell.go
@@ -115,16 +115,16 @@
 const CodeNoJob peer.Code = "no-job"
 
 // codedNoJobError is a hall.NoJobError with a wire code.
-type codedNoJobError struct{ *hall.NoJobError }
+type codedNoJobError struct{ *hall.JobNotFoundError }
 
 func (codedNoJobError) Code() peer.Code { return CodeNoJob }
 
 // Unwrap lets errors.As find the hall.NoJobError in results of local calls.
-func (e codedNoJobError) Unwrap() error { return e.NoJobError }
+func (e codedNoJobError) Unwrap() error { return e.JobNotFoundError }
 
 // withCode adds the wire code to a hall.NoJobError and returns other errors unchanged.
 func withCode(err error) error {
-	var missing *hall.NoJobError
+	var missing *hall.JobNotFoundError
 	if errors.As(err, &missing) {
 		return codedNoJobError{missing}
 	}
@@ -328,7 +328,7 @@
 				unreported = append(unreported, unit)
 				continue
 			}
-			if !t.Need.Fits(summary.Largest) {
+			if !t.Need.Fits(summary.MaxPerWorker) {
 				continue
 			}
 			if u := c.utilization(summary, t); best == "" || u < lowest {
--- a/cell/jobs.go
+++ b/cell/jobs.go
@@ -25,7 +25,7 @@
 		unreachable *peer.UnreachableError
 		lost        *peer.LostError
 	)
-	notFound := errors.As(err, new(*hall.NoJobError)) || hasCode(err, CodeNoJob)
+	notFound := errors.As(err, new(*hall.JobNotFoundError)) || hasCode(err, CodeNoJob)
 	if notFound || hasCode(err, CodeNoOwner) || errors.As(err, &noOwner) || errors.As(err, &unreachable) || errors.As(err, &lost) {
 		return c.jobFromTable(ctx, id)
 	}
@@ -44,7 +44,7 @@
 	}
 	s, found := u.Job(id)
 	if !found {
-		return s, codedNoJobError{&hall.NoJobError{ID: id}}
+		return s, codedNoJobError{&hall.JobNotFoundError{ID: id}}
 	}
 	return s, nil
 }
