--- a/box/metrics.go
+++ b/box/metrics.go
@@ -74,8 +74,8 @@
 		CPU: processCPU(), Heap: heap(), Resident: resident(),
 		PeerBytes: l.box.client.Sent.Load() + l.box.client.Received.Load(),
 		Table: TableMetrics{
-			l.sender.Stats.Sent.Load(), l.sender.Stats.Resent.Load(),
-			l.sender.Stats.ReadBack.Load(), l.sender.Stats.Conflicts.Load(),
+			l.sender.Stats.Sent.Load(), l.sender.Stats.Retries.Load(),
+			l.sender.Stats.ConfirmedByRead.Load(), l.sender.Stats.Conflicts.Load(),
 		},
 		Requests: RequestMetrics{
 			l.router.Stats.Answered.Load(), l.router.Stats.NotRun.Load(), l.router.Stats.Unknown.Load(),
--- a/cell/status.go
+++ b/cell/status.go
@@ -50,20 +50,20 @@
 
 // Status is the state of the cell as seen by the box that answers.
 type Status struct {
-	Asked     string         `json:"asked"` // name of the box that answers
-	Revision  uint64         `json:"revision"`
-	Author    string         `json:"author"`
-	Boxes     []BoxStatus    `json:"boxes"`
-	Units     []hall.Summary `json:"units"`
-	Templates []string       `json:"templates"`
-	Routes    []string       `json:"routes"`
+	AnsweredBy string         `json:"asked"` // name of the box that answers
+	Revision   uint64         `json:"revision"`
+	Author     string         `json:"author"`
+	Boxes      []BoxStatus    `json:"boxes"`
+	Units      []hall.Summary `json:"units"`
+	Templates  []string       `json:"templates"`
+	Routes     []string       `json:"routes"`
 }
 
 // Status returns the state of the cell as known to this box, without calls to others.
 // Ready tells whether this box accepts requests.
 func (c *Cell) Status(ready bool) Status {
 	rev := c.Publisher.Current()
-	s := Status{Asked: c.Self.Incarnation.Box(), Revision: rev.Number, Author: rev.Author}
+	s := Status{AnsweredBy: c.Self.Incarnation.Box(), Revision: rev.Number, Author: rev.Author}
 	s.Templates = sortedKeys(rev.Set.Templates)
 	s.Routes = sortedKeys(rev.Set.Routes)
 	s.Boxes = append(s.Boxes, c.localStatus(ready))
--- a/commit/commit.go
+++ b/commit/commit.go
@@ -21,38 +21,38 @@
 	maxRetryDelay     = 2 * time.Second
 )
 
-// UndecidedError reports that the outcome of a transaction was still unknown when its
+// UnknownOutcomeError reports that the outcome of a transaction was still unknown when its
 // context ended. The transaction may have been applied or may still be applied.
-type UndecidedError struct {
+type UnknownOutcomeError struct {
 	Txn   string
 	Cause error
 }
 
-func (e *UndecidedError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("transaction %s: outcome unknown, it may have been applied: %v", e.Txn, e.Cause)
 }
 
-func (e *UndecidedError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// AbandonedError reports that a transaction was not applied, and never will be, because its
+// NotAppliedError reports that a transaction was not applied, and never will be, because its
 // context ended first.
-type AbandonedError struct {
+type NotAppliedError struct {
 	Txn   string
 	Cause error
 }
 
-func (e *AbandonedError) Error() string {
+func (e *NotAppliedError) Error() string {
 	return fmt.Sprintf("transaction %s: not applied: %v", e.Txn, e.Cause)
 }
 
-func (e *AbandonedError) Unwrap() error { return e.Cause }
+func (e *NotAppliedError) Unwrap() error { return e.Cause }
 
 // Stats holds the counters of a Sender.
 type Stats struct {
-	Sent      atomic.Int64 // requests to the table
-	Resent    atomic.Int64 // retries among Sent
-	ReadBack  atomic.Int64 // transactions without a response that reads showed to be applied
-	Conflicts atomic.Int64 // transactions that failed with a conflict
+	Sent            atomic.Int64 // requests to the table
+	Retries         atomic.Int64 // retries among Sent
+	ConfirmedByRead atomic.Int64 // transactions without a response that reads showed to be applied
+	Conflicts       atomic.Int64 // transactions that failed with a conflict
 }
 
 // Sender sends transactions to a table at a limited rate.
@@ -79,16 +79,16 @@
 // of the written rows, or a provider.ConflictError, an AbandonedError or an UndecidedError.
 func (s *Sender) Do(ctx context.Context, t provider.Txn) (uint64, error) {
 	if err := s.Wait(ctx); err != nil {
-		return 0, &AbandonedError{t.ID, err}
+		return 0, &NotAppliedError{t.ID, err}
 	}
-	return s.DoNow(ctx, t)
+	return s.DoUnthrottled(ctx, t)
 }
 
-// DoNow is like Do but does not call Wait.
+// DoUnthrottled is like Do but does not call Wait.
 //
 // Retries are safe because each sends the same transaction with the same conditions: if one
 // request is applied, a delayed duplicate fails with a conflict.
-func (s *Sender) DoNow(ctx context.Context, t provider.Txn) (uint64, error) {
+func (s *Sender) DoUnthrottled(ctx context.Context, t provider.Txn) (uint64, error) {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = initialRetryDelay, maxRetryDelay
 	mayHaveApplied := false // whether an earlier request may have been applied
@@ -115,7 +115,7 @@
 		if wait.For(ctx, max(retry.NextBackOff(), provider.RetryAfter(err))) != nil {
 			return 0, gaveUpError(t, mayHaveApplied, err)
 		}
-		s.Stats.Resent.Add(1)
+		s.Stats.Retries.Add(1)
 	}
 }
 
@@ -123,7 +123,7 @@
 // request may have been applied.
 func (s *Sender) resolveConflict(version uint64, applied bool, conflict *provider.ConflictError) (uint64, error) {
 	if applied {
-		s.Stats.ReadBack.Add(1)
+		s.Stats.ConfirmedByRead.Add(1)
 		return version, nil
 	}
 	s.Stats.Conflicts.Add(1)
@@ -133,9 +133,9 @@
 // gaveUpError returns the error for a transaction whose context ended.
 func gaveUpError(t provider.Txn, mayHaveApplied bool, cause error) error {
 	if mayHaveApplied {
-		return &UndecidedError{t.ID, cause}
+		return &UnknownOutcomeError{t.ID, cause}
 	}
-	return &AbandonedError{t.ID, cause}
+	return &NotAppliedError{t.ID, cause}
 }
 
 // readBack reads the rows of t to determine whether t was applied, which is the case if a
--- a/commit/commit_test.go
+++ b/commit/commit_test.go
@@ -84,9 +84,9 @@
 		fault standin.Fault
 		want  func(error) bool
 	}{
-		{"service always unavailable", standin.Fault{Refuse: standin.Down(provider.TableService)}, is[*AbandonedError]},
-		{"always lost", standin.Fault{Vanish: true}, is[*UndecidedError]},
-		{"hangs", standin.Fault{Delay: time.Hour}, is[*UndecidedError]},
+		{"service always unavailable", standin.Fault{Refuse: standin.Down(provider.TableService)}, is[*NotAppliedError]},
+		{"always lost", standin.Fault{Vanish: true}, is[*UnknownOutcomeError]},
+		{"hangs", standin.Fault{Delay: time.Hour}, is[*UnknownOutcomeError]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/commit/group.go
+++ b/commit/group.go
@@ -83,7 +83,7 @@
 	case o := <-w.done:
 		return o.version, o.err
 	case <-ctx.Done():
-		return 0, &UndecidedError{"(batched)", ctx.Err()}
+		return 0, &UnknownOutcomeError{"(batched)", ctx.Err()}
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	wg.Wait()
 	for parts := g.nextBatch(); len(parts) > 0; parts = g.nextBatch() {
-		g.complete(parts, outcome{0, &AbandonedError{"(batched)", context.Cause(ctx)}})
+		g.complete(parts, outcome{0, &NotAppliedError{"(batched)", context.Cause(ctx)}})
 	}
 }
 
@@ -155,7 +155,7 @@
 			t.Conds = append(t.Conds, w.part.Conds...)
 			t.Writes = append(t.Writes, w.part.Writes...)
 		}
-		version, err := g.sender.DoNow(ctx, t)
+		version, err := g.sender.DoUnthrottled(ctx, t)
 		var conflict *provider.ConflictError
 		if !errors.As(err, &conflict) {
 			g.complete(parts, outcome{version, err})
--- a/hall/decide.go
+++ b/hall/decide.go
@@ -132,7 +132,7 @@
 	now := time.Now()
 	t.phase, t.attempt, t.grant, t.worker, t.endpoint = granting, g.Attempt, g, w, ""
 	t.leaseUntil, t.startExpires = time.Time{}, time.Time{}
-	t.task = t.task.WithStart(id.N, w.name(), now)
+	t.task = t.task.WithStart(id.Number, w.name(), now)
 	w.tasks[g.Attempt] = t
 	u.queue.Take(t.job.job.Account, tm.Need)
 	u.countReplica(t, 1)
--- a/hall/flush.go
+++ b/hall/flush.go
@@ -66,7 +66,7 @@
 		if len(b.txn.Writes) == 0 {
 			continue
 		}
-		version, err := u.deps.Sender.DoNow(u.ctx, b.txn)
+		version, err := u.deps.Sender.DoUnthrottled(u.ctx, b.txn)
 		if err != nil {
 			u.flushFailed(err)
 			return
--- a/hall/load.go
+++ b/hall/load.go
@@ -170,7 +170,7 @@
 		t := j.tasks[a.Task]
 		t.phase, t.attempt, t.grant, t.worker = starting, g.Attempt, g, w
 		t.startExpires, t.leaseUntil = u.hold.Before, u.hold.Before.Add(g.Lease)
-		t.task = t.task.WithStart(a.N, w.name(), time.Now())
+		t.task = t.task.WithStart(a.Number, w.name(), time.Now())
 		w.tasks[g.Attempt] = t
 		u.queue.Take(j.job.Account, g.Need)
 		u.countReplica(t, 1)
--- a/job/task.go
+++ b/job/task.go
@@ -12,14 +12,14 @@
 
 // AttemptID identifies one attempt to run a task. Its text form is "job/task/n".
 type AttemptID struct {
-	Job  ID
-	Task int
-	N    int // attempt number, starting at 1
+	Job    ID
+	Task   int
+	Number int // attempt number, starting at 1
 }
 
 // String returns the text form of a, which the platform's workers use as identifier.
 func (a AttemptID) String() string {
-	return string(a.Job) + "/" + strconv.Itoa(a.Task) + "/" + strconv.Itoa(a.N)
+	return string(a.Job) + "/" + strconv.Itoa(a.Task) + "/" + strconv.Itoa(a.Number)
 }
 
 // AttemptError reports that a text is not a valid attempt ID.
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -163,7 +163,7 @@
 	k.mu.Unlock()
 	sent := clock.Now()
 	t := provider.Txn{ID: xid.New().String()}.Put(row.Key(), version, control.Encode(row))
-	next, err := k.sender.DoNow(ctx, t)
+	next, err := k.sender.DoUnthrottled(ctx, t)
 	var conflict *provider.ConflictError
 	if errors.As(err, &conflict) {
 		fence(&FencedError{row.Incarnation})
--- a/tool/look.go
+++ b/tool/look.go
@@ -130,7 +130,7 @@
 	if options.JSON {
 		return printJSON(st)
 	}
-	fmt.Fprintf(out, "revision %d by %s, as %s sees it\n\n", st.Revision, st.Author, st.Asked)
+	fmt.Fprintf(out, "revision %d by %s, as %s sees it\n\n", st.Revision, st.Author, st.AnsweredBy)
 	if err := printBoxes(st); err != nil || s.Revision {
 		return err
 	}
