--- a/clock/atomic.go
+++ b/clock/atomic.go
@@ -2,29 +2,27 @@
 
 import "sync/atomic"
 
-// Atomic is an instant that several goroutines read and set. Its zero value holds the zero
-// Instant.
-type Atomic struct{ held atomic.Pointer[Instant] }
+// Atomic is an Instant that can be read and written atomically. Its zero value holds the
+// zero Instant.
+type Atomic struct{ value atomic.Pointer[Instant] }
 
-// Load returns the instant.
 func (a *Atomic) Load() Instant {
-	if held := a.held.Load(); held != nil {
-		return *held
+	if value := a.value.Load(); value != nil {
+		return *value
 	}
 	return Instant{}
 }
 
-// Store sets the instant.
-func (a *Atomic) Store(i Instant) { a.held.Store(&i) }
+func (a *Atomic) Store(i Instant) { a.value.Store(&i) }
 
-// StoreFirst sets the instant if it is zero.
+// StoreFirst stores i if a holds the zero Instant.
 func (a *Atomic) StoreFirst(i Instant) {
 	for {
-		held := a.held.Load()
-		if held != nil && !held.IsZero() {
+		old := a.value.Load()
+		if old != nil && !old.IsZero() {
 			return
 		}
-		if a.held.CompareAndSwap(held, &i) {
+		if a.value.CompareAndSwap(old, &i) {
 			return
 		}
 	}
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -6,19 +6,20 @@
 	"chutereach/clock/internal/source"
 )
 
-// Instant is a moment on this machine.
+// Instant is a point in time on this system. Instants of different systems cannot be
+// compared.
 type Instant struct {
-	at        time.Time
-	suspended time.Duration // of the machine, until then
+	time      time.Time
+	suspended time.Duration // total since boot, at time
 }
 
-// Now returns the present moment. It makes two calls to the system, 0.55 µs together where
-// time.Now takes 0.08 (BenchmarkNow, beside other load).
-func Now() Instant { return Instant{time.Now(), suspended()} }
+// Now returns the current instant. It is slower than time.Now, because it also reads two
+// system clocks; see BenchmarkNow.
+func Now() Instant { return Instant{time.Now(), totalSuspended()} }
 
-// suspended returns how long the machine has been suspended. A system that does not tell,
-// which Check reports at the start, counts as never suspended.
-func suspended() time.Duration {
+// totalSuspended returns the time spent suspended since boot, or 0 if it cannot be read. The
+// daemon calls Check at startup to detect that.
+func totalSuspended() time.Duration {
 	total, err := source.Suspended()
 	if err != nil {
 		return 0
@@ -26,31 +27,31 @@
 	return total
 }
 
-// Check returns an error if the system does not tell how long it was suspended.
+// Check returns an error if the time spent suspended cannot be read.
 func Check() error {
 	_, err := source.Suspended()
 	return err
 }
 
-// IsZero reports whether the instant is none.
-func (i Instant) IsZero() bool { return i.at.IsZero() }
+// IsZero reports whether i is the zero Instant.
+func (i Instant) IsZero() bool { return i.time.IsZero() }
 
-// Time returns the instant on the steady clock.
-func (i Instant) Time() time.Time { return i.at }
+// Time returns the instant as a time.Time with a monotonic clock reading.
+func (i Instant) Time() time.Time { return i.time }
 
-// Since returns the time from the instant until now, suspensions included.
+// Since returns the time elapsed since i, including time spent suspended.
 func (i Instant) Since() time.Duration { return Now().Sub(i) }
 
-// After returns when a time from the instant on will have passed, on the steady clock: as
-// much sooner as the machine was suspended since.
+// After returns the monotonic time at which d will have elapsed since i. Time spent
+// suspended between i and the call counts towards d.
 func (i Instant) After(d time.Duration) time.Time {
-	return i.at.Add(d - max(0, suspended()-i.suspended))
+	return i.time.Add(d - max(0, totalSuspended()-i.suspended))
 }
 
-// Before returns the instant that was so much earlier, with no suspension in between.
-func (i Instant) Before(d time.Duration) Instant { return Instant{i.at.Add(-d), i.suspended} }
+// Before returns the instant d before i, assuming no suspend in between.
+func (i Instant) Before(d time.Duration) Instant { return Instant{i.time.Add(-d), i.suspended} }
 
-// Sub returns the time from an earlier instant to this one, suspensions included.
+// Sub returns the time elapsed from earlier to i, including time spent suspended.
 func (i Instant) Sub(earlier Instant) time.Duration {
-	return i.at.Sub(earlier.at) + max(0, i.suspended-earlier.suspended)
+	return i.time.Sub(earlier.time) + max(0, i.suspended-earlier.suspended)
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -9,42 +9,42 @@
 	"chutereach/clock/clocktest"
 )
 
-func TestSuspensionsCount(t *testing.T) {
+func TestSinceIncludesSuspension(t *testing.T) {
 	for _, d := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
 		t.Run(d.String(), func(t *testing.T) {
-			machine := clocktest.New(t)
+			suspension := clocktest.New(t)
 			synctest.Test(t, func(t *testing.T) {
-				begun := clock.Now()
+				start := clock.Now()
 				time.Sleep(time.Second)
-				machine.Suspend(d)
-				if got := begun.Since(); got != d+time.Second {
-					t.Errorf("%v since, want %v", got, d+time.Second)
+				suspension.Suspend(d)
+				if got := start.Since(); got != d+time.Second {
+					t.Errorf("Since() = %v, want %v", got, d+time.Second)
 				}
 			})
 		})
 	}
 }
 
-func TestAnInstantIsHeldOnce(t *testing.T) {
-	var a clock.Atomic
-	if !a.Load().IsZero() {
-		t.Error("the zero value holds an instant")
+func TestAtomicStoreFirst(t *testing.T) {
+	var value clock.Atomic
+	if !value.Load().IsZero() {
+		t.Error("Load() of the zero Atomic is not the zero Instant")
 	}
 	first := clock.Now()
-	a.StoreFirst(first)
-	a.StoreFirst(clock.Now())
-	if got := a.Load(); got != first {
-		t.Errorf("it holds %v, want the first, %v", got, first)
+	value.StoreFirst(first)
+	value.StoreFirst(clock.Now())
+	if got := value.Load(); got != first {
+		t.Errorf("Load() = %v, want the first stored instant, %v", got, first)
 	}
 }
 
-func TestTheSystemTells(t *testing.T) {
+func TestCheck(t *testing.T) {
 	if err := clock.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// BenchmarkNow tells what counting suspensions costs beside time.Now.
+// BenchmarkNow compares clock.Now with time.Now.
 func BenchmarkNow(b *testing.B) {
 	b.Run("clock", func(b *testing.B) {
 		for b.Loop() {
--- a/clock/clocktest/clocktest.go
+++ b/clock/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest lets tests suspend the machine.
+// Package clocktest simulates system suspend in tests of code that uses package clock.
 package clocktest
 
 import (
@@ -9,19 +9,20 @@
 	"chutereach/clock/internal/source"
 )
 
-// Suspension is a machine that a test suspends. The clocks of all packages go by it until
-// the test ends.
+// Suspension is the simulated time that the system has spent suspended.
 type Suspension struct{ total atomic.Int64 }
 
-// New puts a machine in place of the system's. Tests that use it do not run in parallel.
+// New replaces the system's suspend time by a simulated one, for the whole process, until
+// the test ends. Tests that call it must not run in parallel.
 func New(t *testing.T) *Suspension {
 	t.Helper()
 	s := new(Suspension)
-	read := func() time.Duration { return time.Duration(s.total.Load()) }
-	source.Replacement.Store(&read)
-	t.Cleanup(func() { source.Replacement.Store(nil) })
+	override := func() time.Duration { return time.Duration(s.total.Load()) }
+	source.SuspendedOverride.Store(&override)
+	t.Cleanup(func() { source.SuspendedOverride.Store(nil) })
 	return s
 }
 
-// Suspend suspends the machine for a time, in which no clock but that of the boot goes on.
+// Suspend simulates a suspend of length d: it adds d to the time spent suspended and leaves
+// the monotonic clock as it is.
 func (s *Suspension) Suspend(d time.Duration) { s.total.Add(int64(d)) }
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,9 +1,9 @@
-// Package clock measures spans of time that other processes measure too: leases, terms of
-// ownership, fences.
+// Package clock measures elapsed time including system suspend. Use it for timeouts that
+// several processes measure independently: leases, terms of ownership and fences.
 //
-// Go's time.Since goes by the steady clock of the system, which stands still while the
-// machine is suspended. An owner that was suspended for ten seconds would take its term for
-// confirmed though another node has taken the shard, and extend leases that its successor
-// takes for lapsed. Nor does the time of day serve, which may be set. An Instant counts
-// suspensions and nothing else besides the steady clock.
+// time.Since uses CLOCK_MONOTONIC, which stops while the system is suspended. After a
+// suspend, a former owner would consider its term valid although another node has taken
+// over the shard, and would renew leases that the new owner considers expired. The wall
+// clock is unsuitable because it can be set. An Instant combines the monotonic clock with
+// the total time spent suspended.
 package clock
--- a/clock/internal/source/source.go
+++ b/clock/internal/source/source.go
@@ -1,4 +1,4 @@
-// Package source reads the system's clocks, or what a test has put in their place.
+// Package source reads the time that the system has spent suspended.
 package source
 
 import (
@@ -9,31 +9,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Replacement, if set, takes the place of the system's clocks in tests.
-var Replacement atomic.Pointer[func() time.Duration]
+// SuspendedOverride, if set, supplies the result of Suspended in tests.
+var SuspendedOverride atomic.Pointer[func() time.Duration]
 
-// ClockError says that the system does not tell a clock.
+// ClockError reports a system clock that could not be read.
 type ClockError struct {
 	Clock string
 	Cause error
 }
 
-func (e *ClockError) Error() string { return fmt.Sprintf("clock %s: %v", e.Clock, e.Cause) }
+func (e *ClockError) Error() string { return fmt.Sprintf("read system clock %s: %v", e.Clock, e.Cause) }
 
 func (e *ClockError) Unwrap() error { return e.Cause }
 
-// Suspended returns how long the machine has been suspended since it was started: what its
-// clock since the boot counts and its steady clock does not.
+// Suspended returns the time spent suspended since boot: the difference between
+// CLOCK_BOOTTIME, which includes it, and CLOCK_MONOTONIC, which doesn't.
 func Suspended() (time.Duration, error) {
-	if replacement := Replacement.Load(); replacement != nil {
-		return (*replacement)(), nil
+	if override := SuspendedOverride.Load(); override != nil {
+		return (*override)(), nil
 	}
-	var steady, boot unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	var monotonic, bootTime unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, &ClockError{"CLOCK_MONOTONIC", err}
 	}
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootTime); err != nil {
 		return 0, &ClockError{"CLOCK_BOOTTIME", err}
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(bootTime.Nano() - monotonic.Nano()), nil
 }
