--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys makes the certificates by which boxes know each other: an
-// authority, and one certificate a box signed by it.
+// Package keys creates and loads the certificates that boxes use for mutual
+// TLS: a certificate authority, and one certificate per box signed by it.
 package keys
 
 import (
@@ -18,20 +18,20 @@
 )
 
 const (
-	authorityYears = 10
-	boxDays        = 90
-	serialBits     = 120
-	secretMode     = 0o600
-	dirMode        = 0o700
+	authorityValidityYears = 10
+	boxValidityDays        = 90
+	serialBits             = 120
+	fileMode               = 0o600
+	dirMode                = 0o700
 )
 
-// Names of the files that the functions of this package write.
+// Files that NewAuthority writes.
 const (
-	AuthorityCert = "authority.pem"
-	AuthorityKey  = "authority-key.pem"
+	AuthorityCert    = "authority.pem"
+	AuthorityKeyFile = "authority-key.pem"
 )
 
-// FileError says which file of keys could not be used, and why.
+// FileError reports a certificate or key file that could not be read or written.
 type FileError struct {
 	File  string
 	Cause error
@@ -41,13 +41,15 @@
 
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// NoPEMError says that a file holds no key or certificate.
-type NoPEMError struct{ File string }
+// NoCertificateError reports a file without a PEM-encoded certificate.
+type NoCertificateError struct{ File string }
 
-func (e *NoPEMError) Error() string { return e.File + ": holds no PEM block" }
+func (e *NoCertificateError) Error() string {
+	return e.File + ": no valid PEM-encoded certificate found"
+}
 
-// NewAuthority writes a new authority into dir. An authority that stands there
-// already is left alone.
+// NewAuthority writes the certificate and key of a new certificate authority to
+// dir. It does nothing if dir already has an authority certificate.
 func NewAuthority(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return &FileError{dir, err}
@@ -59,20 +61,20 @@
 	if err != nil {
 		return &FileError{dir, err}
 	}
-	t := certificate("chutereach authority", time.Now().AddDate(authorityYears, 0, 0))
-	t.IsCA, t.BasicConstraintsValid = true, true
-	t.KeyUsage = x509.KeyUsageCertSign
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	template := certificateTemplate("chutereach authority", time.Now().AddDate(authorityValidityYears, 0, 0))
+	template.IsCA, template.BasicConstraintsValid = true, true
+	template.KeyUsage = x509.KeyUsageCertSign
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return &FileError{dir, err}
 	}
-	return writePair(dir, AuthorityCert, AuthorityKey, der, key)
+	return writePair(dir, AuthorityCert, AuthorityKeyFile, der, key)
 }
 
-// NewBox writes a certificate and key for the box called name into dir, signed
-// by the authority there. They are NAME.pem and NAME-key.pem.
+// NewBox issues a certificate for the named box, signed by the authority in dir.
+// It writes NAME.pem and NAME-key.pem to dir.
 func NewBox(dir, name string) error {
-	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKey))
+	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKeyFile))
 	if err != nil {
 		return &FileError{filepath.Join(dir, AuthorityCert), err}
 	}
@@ -84,57 +86,59 @@
 	if err != nil {
 		return &FileError{dir, err}
 	}
-	t := certificate(name, time.Now().AddDate(0, 0, boxDays))
-	t.DNSNames = []string{ServerName}
-	t.KeyUsage = x509.KeyUsageDigitalSignature
-	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	der, err := x509.CreateCertificate(rand.Reader, t, parent, &key.PublicKey, ca.PrivateKey)
+	template := certificateTemplate(name, time.Now().AddDate(0, 0, boxValidityDays))
+	template.DNSNames = []string{ServerName}
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, ca.PrivateKey)
 	if err != nil {
 		return &FileError{dir, err}
 	}
 	return writePair(dir, name+".pem", name+"-key.pem", der, key)
 }
 
-// ServerName is the name that every box's certificate carries: boxes are told
-// apart by the subject, and reached by IP numbers that may change.
+// ServerName is the DNS name in the certificate of every box. Clients verify it
+// in place of the box's IP address, which may change. The name of the box itself
+// is the common name of the certificate's subject.
 const ServerName = "box.chutereach.internal"
 
-func certificate(name string, until time.Time) *x509.Certificate {
+func certificateTemplate(name string, notAfter time.Time) *x509.Certificate {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		panic(err) // crypto/rand does not fail
+		panic(err) // unreachable: crypto/rand.Reader never returns an error
 	}
 	return &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: until,
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: notAfter,
 	}
 }
 
 func writePair(dir, certFile, keyFile string, der []byte, key *ecdsa.PrivateKey) error {
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	privateKey, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return &FileError{dir, err}
 	}
-	if err := writePEM(filepath.Join(dir, keyFile), "PRIVATE KEY", secret); err != nil {
+	if err := writePEM(filepath.Join(dir, keyFile), "PRIVATE KEY", privateKey); err != nil {
 		return err
 	}
 	return writePEM(filepath.Join(dir, certFile), "CERTIFICATE", der)
 }
 
-func writePEM(file, kind string, der []byte) error {
-	data := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
-	if err := os.WriteFile(file, data, secretMode); err != nil {
+func writePEM(file, blockType string, der []byte) error {
+	data := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
+	if err := os.WriteFile(file, data, fileMode); err != nil {
 		return &FileError{file, err}
 	}
 	return nil
 }
 
-// Ephemeral returns the TLS configuration of a box that knows no other: keys of
-// its own that are never written down.
+// Ephemeral returns the TLS configuration of a box that runs without peers. Its
+// authority and certificate are generated in a temporary directory, which is
+// removed before Ephemeral returns.
 func Ephemeral(name string) (*tls.Config, error) {
 	dir, err := os.MkdirTemp("", "chutereach-keys-")
 	if err != nil {
-		return nil, &FileError{"temporary keys", err}
+		return nil, &FileError{"temporary key directory", err}
 	}
 	defer os.RemoveAll(dir)
 	if err := NewAuthority(dir); err != nil {
@@ -146,25 +150,25 @@
 	return Config(Files{filepath.Join(dir, AuthorityCert), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")})
 }
 
-// Files names the files of a box's keys.
+// Files holds the paths of a box's certificate files.
 type Files struct {
 	Authority, Cert, Key string
 }
 
-// Config returns the TLS configuration of a box, both as server and as client:
-// TLS 1.3, and only with boxes that the authority knows.
+// Config returns the TLS configuration of a box, for servers and clients. It
+// requires TLS 1.3 and a peer certificate signed by the authority.
 func Config(f Files) (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
 		return nil, &FileError{f.Cert, err}
 	}
-	data, err := os.ReadFile(f.Authority)
+	authorityPEM, err := os.ReadFile(f.Authority)
 	if err != nil {
 		return nil, &FileError{f.Authority, err}
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(data) {
-		return nil, &NoPEMError{f.Authority}
+	if !pool.AppendCertsFromPEM(authorityPEM) {
+		return nil, &NoCertificateError{f.Authority}
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, ServerName: ServerName,
