--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous gives each key its own order of nodes, by hashing: when a
-// node comes or goes, the others keep their places towards each other, so that
-// only the keys of that node move.
+// Package rendezvous implements rendezvous hashing (highest random weight).
+// Adding or removing a node doesn't change the relative order of the others, so
+// only the keys assigned to that node move.
 package rendezvous
 
 import (
@@ -9,48 +9,50 @@
 	"slices"
 )
 
-// Order returns nodes in key's order, the first choice first. A node is hashed by
-// its name.
+// Order returns the nodes by descending weight for key. The function name returns
+// the string by which a node is hashed.
 func Order[N cmp.Ordered](key string, nodes []N, name func(N) string) []N {
 	type weighted struct {
 		node   N
 		weight uint64
 	}
-	all := make([]weighted, len(nodes))
+	ranked := make([]weighted, len(nodes))
 	for i, n := range nodes {
-		all[i] = weighted{n, weight(key, name(n))}
+		ranked[i] = weighted{n, weight(key, name(n))}
 	}
-	slices.SortFunc(all, func(a, b weighted) int {
+	slices.SortFunc(ranked, func(a, b weighted) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
 	})
 	sorted := make([]N, len(nodes))
-	for i, w := range all {
+	for i, w := range ranked {
 		sorted[i] = w.node
 	}
 	return sorted
 }
 
-// First returns key's first choice among nodes, of which there must be one.
+// First returns the node with the highest weight for key. It panics if nodes is
+// empty.
 func First[N cmp.Ordered](key string, nodes []N, name func(N) string) N {
-	best, most := nodes[0], weight(key, name(nodes[0]))
+	best, bestWeight := nodes[0], weight(key, name(nodes[0]))
 	for _, n := range nodes[1:] {
 		w := weight(key, name(n))
-		if w > most || w == most && n < best {
-			best, most = n, w
+		if w > bestWeight || w == bestWeight && n < best {
+			best, bestWeight = n, w
 		}
 	}
 	return best
 }
 
-// weight hashes a key and a name together. FNV alone leaves names that differ in
-// their last letter close together, so its sum is mixed once more.
+// weight returns the FNV-1a hash of key and name after an additional mixing step.
+// FNV-1a alone yields similar hashes for names that differ only in the last byte,
+// which distributes keys unevenly.
 func weight(key, name string) uint64 {
-	sum := fnv.New64a()
-	sum.Write([]byte(key))
-	sum.Write([]byte{0})
-	sum.Write([]byte(name))
-	x := sum.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	return x ^ x>>33
+	hash := fnv.New64a()
+	hash.Write([]byte(key))
+	hash.Write([]byte{0})
+	hash.Write([]byte(name))
+	mixed := hash.Sum64()
+	mixed ^= mixed >> 33
+	mixed *= 0xff51afd7ed558ccd
+	return mixed ^ mixed>>33
 }
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -9,39 +9,40 @@
 	"chutereach/proptest"
 )
 
-func self(s string) string { return s }
+func identity(s string) string { return s }
 
-// A node that leaves moves its own keys and no others, and First is the head of
-// Order.
-func TestOnlyTheKeysOfALostNodeMove(t *testing.T) {
+// Removing a node must not move keys assigned to other nodes, and First must agree
+// with Order.
+func TestRemovingNodeMovesOnlyItsKeys(t *testing.T) {
 	proptest.Check(t, func(r *rapid.T) {
 		nodes := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,6}`), 2, 9, rapid.ID[string]).Draw(r, "nodes")
-		lost := rapid.IntRange(0, len(nodes)-1).Draw(r, "lost")
-		rest := append(append([]string{}, nodes[:lost]...), nodes[lost+1:]...)
+		removed := rapid.IntRange(0, len(nodes)-1).Draw(r, "removed")
+		remaining := append(append([]string{}, nodes[:removed]...), nodes[removed+1:]...)
 		for i := range 50 {
 			key := fmt.Sprint("key", i)
-			before, after := First(key, nodes, self), First(key, rest, self)
-			if before != nodes[lost] && before != after {
-				r.Fatalf("%s moved from %s to %s", key, before, after)
+			before, after := First(key, nodes, identity), First(key, remaining, identity)
+			if before != nodes[removed] && before != after {
+				r.Fatalf("key %s moved from %s to %s, although its node was not removed", key, before, after)
 			}
-			if head := Order(key, nodes, self)[0]; head != before {
-				r.Fatalf("Order begins with %s, First is %s", head, before)
+			if first := Order(key, nodes, identity)[0]; first != before {
+				r.Fatalf("Order()[0] = %s, First() = %s", first, before)
 			}
 		}
 	})
 }
 
-// Keys are spread over nodes whose names differ by a letter.
-func TestSpread(t *testing.T) {
+// Keys must be distributed evenly over nodes whose names differ only in the last
+// character.
+func TestFirstBalancesKeys(t *testing.T) {
 	nodes := []string{"box-1", "box-2", "box-3", "box-4"}
-	count := map[string]int{}
+	counts := map[string]int{}
 	const keys = 4000
 	for i := range keys {
-		count[First(fmt.Sprint("upstream-", i), nodes, self)]++
+		counts[First(fmt.Sprint("upstream-", i), nodes, identity)]++
 	}
 	for _, n := range nodes {
-		if share := float64(count[n]) / keys; share < 0.22 || share > 0.28 {
-			t.Errorf("%s has %.2f of the keys", n, share)
+		if share := float64(counts[n]) / keys; share < 0.22 || share > 0.28 {
+			t.Errorf("node %s has a share of %.2f of the keys, want 0.22 to 0.28", n, share)
 		}
 	}
 }
