--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline keeps what a box did as typed events in a bounded ring, each
-// with a hybrid logical clock stamp, so that the events of all boxes can be put
-// into an order in which no effect stands before its cause.
+// Package timeline records the events of a box in a ring buffer. Events carry
+// hybrid logical clock timestamps, so that the events of several boxes can be
+// merged in causal order.
 package timeline
 
 import (
@@ -10,28 +10,27 @@
 	"time"
 )
 
-// Stamp is a hybrid logical time: wall time where clocks allow it, and a count
-// that keeps the order where they do not.
+// Stamp is a hybrid logical clock timestamp. Count orders timestamps with the same
+// wall time.
 type Stamp struct {
 	Wall  int64  `json:"wall" cbor:"1,keyasint"` // Unix nanoseconds
 	Count uint32 `json:"count" cbor:"2,keyasint"`
 }
 
-// Compare orders stamps.
+// Compare returns -1, 0 or +1 if s is before, equal to or after o.
 func (s Stamp) Compare(o Stamp) int {
 	return cmp.Or(cmp.Compare(s.Wall, o.Wall), cmp.Compare(s.Count, o.Count))
 }
 
-// Time returns the wall time of s.
 func (s Stamp) Time() time.Time { return time.Unix(0, s.Wall) }
 
-// Clock gives out stamps.
+// Clock is a hybrid logical clock. The zero value is ready to use.
 type Clock struct {
 	mu   sync.Mutex
 	last Stamp
 }
 
-// Now returns a stamp after every one given out or seen.
+// Now returns a timestamp greater than all that c has returned or received.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,8 +43,8 @@
 	return c.last
 }
 
-// Seen takes in a stamp of another box, so that what this box does next comes
-// after it.
+// Seen advances c to a timestamp received from another box, so that later
+// timestamps of c are greater.
 func (c *Clock) Seen(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,10 +53,10 @@
 	}
 }
 
-// Kind says what happened.
+// Kind is the type of an event.
 type Kind string
 
-// The kinds of event.
+// Event kinds.
 const (
 	BoxStarted     Kind = "box-started"
 	BoxLeaving     Kind = "box-leaving"
@@ -83,7 +82,7 @@
 	ConfigInForce  Kind = "config-in-force"
 )
 
-// Event is one thing that a box did or saw.
+// Event is an action or observation of a box.
 type Event struct {
 	Stamp   Stamp  `json:"stamp" cbor:"1,keyasint"`
 	Box     string `json:"box" cbor:"2,keyasint"`
@@ -97,22 +96,23 @@
 	Detail  string `json:"detail,omitempty" cbor:"10,keyasint,omitempty"`
 }
 
-// Ring keeps the newest events of a box.
+// Ring is a ring buffer of the most recent events of a box.
 type Ring struct {
 	box     string
 	clock   *Clock
 	mu      sync.Mutex
-	events  []Event // a circle once it is full
-	next    int
+	events  []Event // circular once len equals cap
+	oldest  int     // index of the oldest event
 	dropped int64
 }
 
-// NewRing returns a ring of size events.
+// NewRing returns a ring buffer with capacity for size events.
 func NewRing(box string, clock *Clock, size int) *Ring {
 	return &Ring{box: box, clock: clock, events: make([]Event, 0, size)}
 }
 
-// Add records e, stamped now.
+// Add records e with the current timestamp and the name of the box. If the buffer
+// is full, it drops the oldest event.
 func (r *Ring) Add(e Event) {
 	e.Stamp, e.Box = r.clock.Now(), r.box
 	r.mu.Lock()
@@ -121,18 +121,18 @@
 		r.events = append(r.events, e)
 		return
 	}
-	r.events[r.next] = e
-	r.next = (r.next + 1) % len(r.events)
+	r.events[r.oldest] = e
+	r.oldest = (r.oldest + 1) % len(r.events)
 	r.dropped++
 }
 
-// Filter selects events; an empty field selects all.
+// Filter selects events. A zero field matches every event.
 type Filter struct {
 	Job, Worker, Account, Request, Unit string
 	After                               Stamp
 }
 
-func (f Filter) admits(e Event) bool {
+func (f Filter) matches(e Event) bool {
 	return e.Stamp.Compare(f.After) > 0 &&
 		(f.Job == "" || f.Job == e.Job) &&
 		(f.Worker == "" || f.Worker == e.Worker) &&
@@ -141,35 +141,36 @@
 		(f.Unit == "" || f.Unit == e.Unit)
 }
 
-// Page is the events of one box, and how many it has dropped so far.
+// Page holds events of one box, or of several after Merge, and the number of events
+// that their ring buffers have dropped.
 type Page struct {
 	Events  []Event `json:"events" cbor:"1,keyasint"`
 	Dropped int64   `json:"dropped" cbor:"2,keyasint"`
 }
 
-// Read returns the events that f selects, the oldest first.
+// Read returns the events that match f, oldest first.
 func (r *Ring) Read(f Filter) Page {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := Page{Events: []Event{}, Dropped: r.dropped}
 	for i := range r.events {
-		e := r.events[(r.next+i)%len(r.events)]
-		if f.admits(e) {
+		e := r.events[(r.oldest+i)%len(r.events)]
+		if f.matches(e) {
 			p.Events = append(p.Events, e)
 		}
 	}
 	return p
 }
 
-// Merge puts the events of several boxes into one order.
+// Merge combines the pages of several boxes into one, sorted by timestamp and box.
 func Merge(pages ...Page) Page {
-	all := Page{Events: []Event{}}
+	merged := Page{Events: []Event{}}
 	for _, p := range pages {
-		all.Events = append(all.Events, p.Events...)
-		all.Dropped += p.Dropped
+		merged.Events = append(merged.Events, p.Events...)
+		merged.Dropped += p.Dropped
 	}
-	slices.SortFunc(all.Events, func(a, b Event) int {
+	slices.SortFunc(merged.Events, func(a, b Event) int {
 		return cmp.Or(a.Stamp.Compare(b.Stamp), cmp.Compare(a.Box, b.Box))
 	})
-	return all
+	return merged
 }
