--- a/wait/group.go
+++ b/wait/group.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Group runs goroutines until it is closed. Unlike a sync.WaitGroup it may be
-// asked for another while somebody waits. The zero Group is ready.
+// Group runs goroutines until it is closed. Unlike sync.WaitGroup.Go, Go may be
+// called concurrently with Close. The zero value is ready to use.
 type Group struct {
 	mu     sync.Mutex
 	closed bool
 	tasks  sync.WaitGroup
 }
 
-// Go runs f, unless the group is closed.
+// Go runs f in a new goroutine. It does nothing if the group is closed.
 func (g *Group) Go(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -19,7 +19,7 @@
 	}
 }
 
-// Close keeps the group from running more, and waits for what runs.
+// Close prevents further goroutines from starting and waits for the running ones.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait waits for a time or the end of a context, whichever comes first.
+// Package wait provides a context-aware sleep and a group of goroutines that can be
+// closed.
 package wait
 
 import (
@@ -6,7 +7,8 @@
 	"time"
 )
 
-// For waits for d. It returns the context's error if that ends first.
+// For blocks until d has elapsed or ctx is done. In the latter case it returns
+// ctx.Err().
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
