--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue orders the jobs that wait for room: by class, then by the
-// fairness of dominant shares among accounts, then by age.
+// Package queue orders pending jobs by class, then by their account's dominant
+// share of the capacity (dominant resource fairness), then by age.
 package queue
 
 import (
@@ -11,188 +11,196 @@
 	"chutereach/resource"
 )
 
-// Item is a job that waits. It must be a pointer or another cheap value.
+// Item is a pending job. Items are copied and compared, so use a pointer or
+// another small value.
 type Item interface {
 	comparable
 	// Class returns the job's class.
 	Class() config.Class
 	// Account returns the name of the job's account.
 	Account() string
-	// Since returns when the job began to wait.
+	// Since returns the time at which the job was queued.
 	Since() time.Time
 }
 
 // Queue holds items until they are removed. It is not safe for concurrent use.
 type Queue[I Item] struct {
-	classes [3]map[string]*lane[I] // by rank, by account
-	used    map[string]resource.Amount
-	shares  map[string]float64 // worked out when what an account holds changes
-	whole   resource.Amount
-	ageing  time.Duration
-	len     int
+	classes        [3]map[string]*accountQueue[I] // by class rank, then by account name
+	usage          map[string]resource.Amount
+	dominantShares map[string]float64 // by account name; derived from usage and capacity
+	capacity       resource.Amount
+	ageing         time.Duration
+	size           int
 }
 
-// lane is the items of one account in one class, the oldest first.
-type lane[I Item] struct {
-	account string
-	items   []I
+// accountQueue holds the items of one account in one class, oldest first.
+type accountQueue[I Item] struct {
+	name  string
+	items []I
 }
 
-// New returns an empty queue. Work that has waited for ageing goes before work
-// of the class above that is younger; 0 never raises it.
+// New returns an empty queue. Once the oldest item of an account in a class has
+// waited for ageing, that account's items in the class are ordered with the next
+// higher class. An ageing of 0 disables this.
 func New[I Item](ageing time.Duration) *Queue[I] {
-	q := &Queue[I]{used: map[string]resource.Amount{}, shares: map[string]float64{}, ageing: ageing}
+	q := &Queue[I]{usage: map[string]resource.Amount{}, dominantShares: map[string]float64{}, ageing: ageing}
 	for i := range q.classes {
-		q.classes[i] = map[string]*lane[I]{}
+		q.classes[i] = map[string]*accountQueue[I]{}
 	}
 	return q
 }
 
-// SetWhole says what shares are shares of.
-func (q *Queue[I]) SetWhole(whole resource.Amount) {
-	q.whole = whole
-	for a, used := range q.used {
-		q.shares[a] = used.Dominant(whole)
+// SetWhole sets the capacity of which dominant shares are computed.
+func (q *Queue[I]) SetWhole(capacity resource.Amount) {
+	q.capacity = capacity
+	for a, used := range q.usage {
+		q.dominantShares[a] = used.Dominant(capacity)
 	}
 }
 
-// Used returns what account holds.
-func (q *Queue[I]) Used(account string) resource.Amount { return q.used[account] }
+// Used returns the resources allocated to account.
+func (q *Queue[I]) Used(account string) resource.Amount { return q.usage[account] }
 
-// Take notes that an account holds more.
-func (q *Queue[I]) Take(account string, n resource.Amount) { q.set(account, q.used[account].Plus(n)) }
+// Take adds n to the resources allocated to account.
+func (q *Queue[I]) Take(account string, n resource.Amount) {
+	q.setUsage(account, q.usage[account].Plus(n))
+}
 
-// Give notes that an account holds less.
-func (q *Queue[I]) Give(account string, n resource.Amount) { q.set(account, q.used[account].Minus(n)) }
+// Give subtracts n from the resources allocated to account.
+func (q *Queue[I]) Give(account string, n resource.Amount) {
+	q.setUsage(account, q.usage[account].Minus(n))
+}
 
-func (q *Queue[I]) set(account string, used resource.Amount) {
+func (q *Queue[I]) setUsage(account string, used resource.Amount) {
 	if used.IsZero() {
-		delete(q.used, account)
-		delete(q.shares, account)
+		delete(q.usage, account)
+		delete(q.dominantShares, account)
 		return
 	}
-	q.used[account], q.shares[account] = used, used.Dominant(q.whole)
+	q.usage[account], q.dominantShares[account] = used, used.Dominant(q.capacity)
 }
 
 // Len returns the number of items.
-func (q *Queue[I]) Len() int { return q.len }
+func (q *Queue[I]) Len() int { return q.size }
 
-// Add puts an item into its place by age.
+// Add inserts an item in order of age, after any items of the same age.
 func (q *Queue[I]) Add(item I) {
-	lanes := q.classes[max(item.Class().Rank(), 0)]
-	l := lanes[item.Account()]
-	if l == nil {
-		l = &lane[I]{account: item.Account()}
-		lanes[item.Account()] = l
+	accounts := q.classes[max(item.Class().Rank(), 0)]
+	account := accounts[item.Account()]
+	if account == nil {
+		account = &accountQueue[I]{name: item.Account()}
+		accounts[item.Account()] = account
 	}
-	at, _ := slices.BinarySearchFunc(l.items, item, func(a, b I) int { return a.Since().Compare(b.Since()) })
-	for at < len(l.items) && !l.items[at].Since().After(item.Since()) {
-		at++ // behind its equals
+	index, _ := slices.BinarySearchFunc(account.items, item, func(a, b I) int { return a.Since().Compare(b.Since()) })
+	for index < len(account.items) && !account.items[index].Since().After(item.Since()) {
+		index++
 	}
-	l.items = slices.Insert(l.items, at, item)
-	q.len++
+	account.items = slices.Insert(account.items, index, item)
+	q.size++
 }
 
-// Remove takes an item out, if it is there.
+// Remove removes an item. It does nothing if the item is not queued.
 func (q *Queue[I]) Remove(item I) {
-	lanes := q.classes[max(item.Class().Rank(), 0)]
-	l := lanes[item.Account()]
-	if l == nil {
+	accounts := q.classes[max(item.Class().Rank(), 0)]
+	account := accounts[item.Account()]
+	if account == nil {
 		return
 	}
-	at := slices.Index(l.items, item)
-	if at < 0 {
+	index := slices.Index(account.items, item)
+	if index < 0 {
 		return
 	}
-	l.items = slices.Delete(l.items, at, at+1)
-	q.len--
-	if len(l.items) == 0 {
-		delete(lanes, item.Account())
+	account.items = slices.Delete(account.items, index, index+1)
+	q.size--
+	if len(account.items) == 0 {
+		delete(accounts, item.Account())
 	}
 }
 
-// Verdict is what became of an item that a round offered.
+// Verdict is the result of offering an item for placement.
 type Verdict int
 
-// What a round does after an item was offered.
+// The results of an offer.
 const (
-	Placed Verdict = iota // offer the same item again, in its turn
-	Parked                // do not offer it again in this round
+	Placed Verdict = iota // reorder the item's account and offer the item again
+	Parked                // skip the item for the rest of the round
 	Halt                  // end the round
 )
 
-// Round offers items in order until each is parked or offer says Halt. Offer
-// may Take for the item's account, which moves the account back, and must not
-// Add or Remove; what it wants removed it lists for after the round.
+// Round calls offer with items in order until every item is parked or offer
+// returns Halt. offer may call Take for the item's account, which lowers the
+// account's priority for the rest of the round. It must not call Add or Remove.
 func (q *Queue[I]) Round(now time.Time, offer func(I) Verdict) {
-	r := &round[I]{queue: q}
-	for rank, lanes := range q.classes {
-		for _, l := range lanes {
-			r.cursors = append(r.cursors, &cursor[I]{lane: l, rank: q.rank(rank, l, now)})
+	r := &roundHeap[I]{queue: q}
+	for rank, accounts := range q.classes {
+		for _, account := range accounts {
+			r.cursors = append(r.cursors, &cursor[I]{account: account, rank: q.effectiveRank(rank, account, now)})
 		}
 	}
 	heap.Init(r)
 	for r.Len() > 0 {
 		c := r.cursors[0]
-		switch offer(c.lane.items[c.next]) {
+		switch offer(c.account.items[c.next]) {
 		case Halt:
 			return
 		case Parked:
 			c.next++
 		}
-		if c.next >= len(c.lane.items) {
+		if c.next >= len(c.account.items) {
 			heap.Pop(r)
 			continue
 		}
-		c.rank = q.rank(c.lane.items[c.next].Class().Rank(), c.lane, now)
+		c.rank = q.effectiveRank(c.account.items[c.next].Class().Rank(), c.account, now)
 		heap.Fix(r, 0)
 	}
 }
 
-// rank returns the class of a lane, raised where its oldest item has aged. One
-// class up is the most, and never above urgent work that has waited as long.
-func (q *Queue[I]) rank(class int, l *lane[I], now time.Time) int {
-	if q.ageing > 0 && class > 0 && now.Sub(l.items[0].Since()) >= q.ageing {
+// effectiveRank returns the rank at which an account's items of a class are
+// ordered: one class higher if its oldest item has waited for the ageing period.
+func (q *Queue[I]) effectiveRank(class int, account *accountQueue[I], now time.Time) int {
+	if q.ageing > 0 && class > 0 && now.Sub(account.items[0].Since()) >= q.ageing {
 		return class - 1
 	}
 	return class
 }
 
-// round is the lanes of one round, a heap by class, share and age.
-type round[I Item] struct {
+// roundHeap is the heap of one round's cursors, ordered by effective rank,
+// dominant share, age and account name.
+type roundHeap[I Item] struct {
 	queue   *Queue[I]
 	cursors []*cursor[I]
 }
 
+// cursor is the position of a round in one account's queue.
 type cursor[I Item] struct {
-	lane *lane[I]
-	next int
-	rank int
+	account *accountQueue[I]
+	next    int // index of the next item to offer
+	rank    int // effective rank
 }
 
-func (r *round[I]) Len() int { return len(r.cursors) }
+func (r *roundHeap[I]) Len() int { return len(r.cursors) }
 
-func (r *round[I]) Less(i, j int) bool {
+func (r *roundHeap[I]) Less(i, j int) bool {
 	a, b := r.cursors[i], r.cursors[j]
 	if a.rank != b.rank {
 		return a.rank < b.rank
 	}
-	sa, sb := r.queue.shares[a.lane.account], r.queue.shares[b.lane.account]
+	sa, sb := r.queue.dominantShares[a.account.name], r.queue.dominantShares[b.account.name]
 	if sa != sb {
 		return sa < sb
 	}
-	ta, tb := a.lane.items[a.next].Since(), b.lane.items[b.next].Since()
+	ta, tb := a.account.items[a.next].Since(), b.account.items[b.next].Since()
 	if !ta.Equal(tb) {
 		return ta.Before(tb)
 	}
-	return a.lane.account < b.lane.account
+	return a.account.name < b.account.name
 }
 
-func (r *round[I]) Swap(i, j int) { r.cursors[i], r.cursors[j] = r.cursors[j], r.cursors[i] }
+func (r *roundHeap[I]) Swap(i, j int) { r.cursors[i], r.cursors[j] = r.cursors[j], r.cursors[i] }
 
-func (r *round[I]) Push(x any) { r.cursors = append(r.cursors, x.(*cursor[I])) }
+func (r *roundHeap[I]) Push(x any) { r.cursors = append(r.cursors, x.(*cursor[I])) }
 
-func (r *round[I]) Pop() any {
+func (r *roundHeap[I]) Pop() any {
 	last := r.cursors[len(r.cursors)-1]
 	r.cursors = r.cursors[:len(r.cursors)-1]
 	return last
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -10,7 +10,6 @@
 	"chutereach/resource"
 )
 
-// item is a job that waits in a test.
 type item struct {
 	name    string
 	class   config.Class
@@ -23,16 +22,17 @@
 func (i *item) Since() time.Time    { return i.since }
 
 var (
-	begin = time.Unix(1_000_000, 0)
-	whole = resource.Amount{CPU: 100_000, Memory: 100 << 30}
+	start    = time.Unix(1_000_000, 0)
+	capacity = resource.Amount{CPU: 100_000, Memory: 100 << 30}
 )
 
-func at(name string, class config.Class, account string, after time.Duration) *item {
-	return &item{name, class, account, begin.Add(after)}
+func newItem(name string, class config.Class, account string, after time.Duration) *item {
+	return &item{name, class, account, start.Add(after)}
 }
 
-// order returns the names in the order in which a round offers them, each once.
-func order(q *Queue[*item], now time.Time) []string {
+// roundOrder returns the names of the items in the order in which a round offers
+// them, parking each.
+func roundOrder(q *Queue[*item], now time.Time) []string {
 	var names []string
 	q.Round(now, func(i *item) Verdict {
 		names = append(names, i.name)
@@ -51,38 +51,39 @@
 		used   map[string]resource.MilliCPU
 		want   []string
 	}{
-		{"classes", 0, 0, []*item{at("b", config.Batch, "a", 0), at("s", config.Service, "a", second), at("u", config.Urgent, "a", 2*second)}, nil, []string{"u", "s", "b"}},
-		{"age within an account", 0, 0, []*item{at("2", config.Batch, "a", 2*second), at("1", config.Batch, "a", second)}, nil, []string{"1", "2"}},
-		{"who holds less goes first", 0, 0, []*item{at("rich", config.Batch, "r", 0), at("poor", config.Batch, "p", second)}, map[string]resource.MilliCPU{"r": 2000, "p": 1000}, []string{"poor", "rich"}},
-		{"old batch goes before younger service", time.Minute, 2 * time.Minute, []*item{at("young", config.Service, "a", time.Minute+second), at("old", config.Batch, "b", 0)}, nil, []string{"old", "young"}},
-		{"but not before urgent", time.Minute, time.Hour, []*item{at("old", config.Batch, "b", 0), at("urgent", config.Urgent, "a", 59*time.Minute)}, nil, []string{"urgent", "old"}},
+		{"classes", 0, 0, []*item{newItem("b", config.Batch, "a", 0), newItem("s", config.Service, "a", second), newItem("u", config.Urgent, "a", 2*second)}, nil, []string{"u", "s", "b"}},
+		{"age within an account", 0, 0, []*item{newItem("2", config.Batch, "a", 2*second), newItem("1", config.Batch, "a", second)}, nil, []string{"1", "2"}},
+		{"smaller dominant share first", 0, 0, []*item{newItem("larger", config.Batch, "l", 0), newItem("smaller", config.Batch, "s", second)}, map[string]resource.MilliCPU{"l": 2000, "s": 1000}, []string{"smaller", "larger"}},
+		{"aged batch before younger service", time.Minute, 2 * time.Minute, []*item{newItem("young", config.Service, "a", time.Minute+second), newItem("old", config.Batch, "b", 0)}, nil, []string{"old", "young"}},
+		{"aged batch after urgent", time.Minute, time.Hour, []*item{newItem("old", config.Batch, "b", 0), newItem("urgent", config.Urgent, "a", 59*time.Minute)}, nil, []string{"urgent", "old"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := New[*item](c.ageing)
-			q.SetWhole(whole)
+			q.SetWhole(capacity)
 			for a, cpu := range c.used {
 				q.Take(a, resource.Amount{CPU: cpu})
 			}
 			for _, i := range c.items {
 				q.Add(i)
 			}
-			if got := order(q, begin.Add(c.now)); !slices.Equal(got, c.want) {
+			if got := roundOrder(q, start.Add(c.now)); !slices.Equal(got, c.want) {
 				t.Errorf("order = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Accounts that hand in much and little share a round's room equally.
-func TestRoundSharesRoom(t *testing.T) {
+// An account with many queued jobs must not get more capacity in a round than an
+// account whose single job has many tasks.
+func TestRoundDividesCapacityEqually(t *testing.T) {
 	q := New[*item](0)
-	q.SetWhole(whole)
+	q.SetWhole(capacity)
 	for i := range 100 {
-		q.Add(at(fmt.Sprint("big", i), config.Batch, "big", 0))
+		q.Add(newItem(fmt.Sprint("big", i), config.Batch, "big", 0))
 	}
-	q.Add(at("small", config.Batch, "small", time.Hour))
+	q.Add(newItem("small", config.Batch, "small", time.Hour))
 	placed := map[string]int{}
-	q.Round(begin, func(i *item) Verdict {
+	q.Round(start, func(i *item) Verdict {
 		if placed["big"]+placed["small"] == 20 {
 			return Halt
 		}
@@ -91,18 +92,18 @@
 		return Placed
 	})
 	if placed["big"] != 10 || placed["small"] != 10 {
-		t.Errorf("placed = %v", placed)
+		t.Errorf("placed = %v, want 10 for each account", placed)
 	}
 }
 
 func TestRemove(t *testing.T) {
 	q := New[*item](0)
-	a, b := at("a", config.Batch, "x", 0), at("b", config.Batch, "x", 0)
+	a, b := newItem("a", config.Batch, "x", 0), newItem("b", config.Batch, "x", 0)
 	q.Add(a)
 	q.Add(b)
 	q.Remove(a)
 	q.Remove(a)
-	if got := order(q, begin); !slices.Equal(got, []string{"b"}) || q.Len() != 1 {
-		t.Errorf("left = %v, %d", got, q.Len())
+	if got := roundOrder(q, start); !slices.Equal(got, []string{"b"}) || q.Len() != 1 {
+		t.Errorf("after Remove: order = %v, Len() = %d, want [b], 1", got, q.Len())
 	}
 }
