--- a/queue/queue.go
+++ b/queue/queue.go
@@ -128,8 +128,8 @@
 )
 
 // Round calls offer with items in order until every item is parked or offer
-// returns Halt. offer may call Take for the item's account, which lowers the
-// account's priority for the rest of the round. It must not call Add or Remove.
+// returns Halt. offer may increase the usage of the item's account, which lowers
+// the account's priority. It must not call Add or Remove.
 func (q *Queue[I]) Round(now time.Time, offer func(I) Verdict) {
 	r := &roundHeap[I]{queue: q}
 	for rank, accounts := range q.classes {
