--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,8 +1,8 @@
-// Package resource knows the amounts that a worker has and a task asks for.
+// Package resource defines the resource amounts that workers offer and tasks
+// request.
 //
-// An Amount is a value: every operation returns a new one, and none of them
-// rounds. Processors are counted in thousandths, memory in bytes, accelerators
-// in whole devices, so that sums never drift.
+// Amounts are integers, so that arithmetic on them is exact: CPU is counted in
+// thousandths of a processor, memory in bytes and accelerators in devices.
 package resource
 
 import (
@@ -14,24 +14,23 @@
 	"github.com/dustin/go-humanize"
 )
 
-// MilliCPU counts processors in thousandths of one.
+// MilliCPU is an amount of CPU in thousandths of a processor.
 type MilliCPU int64
 
-// Bytes counts memory.
+// Bytes is an amount of memory in bytes.
 type Bytes int64
 
-// Kind names one dimension of an Amount.
+// Kind is the name of a dimension of an Amount.
 type Kind string
 
-// The dimensions of an Amount, in the order in which they are reported.
+// The dimensions of an Amount, in the order in which shortages are reported.
 const (
 	CPU          Kind = "cpu"
 	Memory       Kind = "memory"
 	Accelerators Kind = "accelerators"
 )
 
-// Amount is a quantity of each kind of resource. The zero Amount asks for
-// nothing.
+// Amount is a quantity of each kind of resource.
 type Amount struct {
 	CPU          MilliCPU `json:"cpu" cbor:"1,keyasint,omitempty"`
 	Memory       Bytes    `json:"memory" cbor:"2,keyasint,omitempty"`
@@ -43,22 +42,23 @@
 	return Amount{a.CPU + b.CPU, a.Memory + b.Memory, a.Accelerators + b.Accelerators}
 }
 
-// Minus returns a less b. The result may be negative; Valid tells.
+// Minus returns the difference of a and b. It may be negative: see Valid.
 func (a Amount) Minus(b Amount) Amount {
 	return Amount{a.CPU - b.CPU, a.Memory - b.Memory, a.Accelerators - b.Accelerators}
 }
 
-// Times returns a taken n times.
+// Times returns a multiplied by n.
 func (a Amount) Times(n int64) Amount {
 	return Amount{a.CPU * MilliCPU(n), a.Memory * Bytes(n), a.Accelerators * n}
 }
 
-// Fits reports whether a can be taken from free.
+// Fits reports whether free is at least a in every dimension.
 func (a Amount) Fits(free Amount) bool {
 	return a.CPU <= free.CPU && a.Memory <= free.Memory && a.Accelerators <= free.Accelerators
 }
 
-// Lacking names the first kind of which free has too little for a.
+// Lacking returns the first kind of which free has less than a, and whether there
+// is one.
 func (a Amount) Lacking(free Amount) (Kind, bool) {
 	switch {
 	case a.CPU > free.CPU:
@@ -71,33 +71,34 @@
 	return "", false
 }
 
-// IsZero reports whether a asks for nothing.
+// IsZero reports whether a is zero in every dimension.
 func (a Amount) IsZero() bool { return a == Amount{} }
 
-// Valid reports whether no part of a is negative.
+// Valid reports whether a is negative in no dimension.
 func (a Amount) Valid() bool { return a.CPU >= 0 && a.Memory >= 0 && a.Accelerators >= 0 }
 
-// Dominant returns the largest share that a takes of any kind of whole. A kind
-// of which whole has none counts only if a asks for it, and then without bound.
-func (a Amount) Dominant(whole Amount) float64 {
+// Dominant returns the dominant share of a: its largest fraction of capacity in
+// any dimension. It is +Inf if a has a kind of which capacity has none.
+func (a Amount) Dominant(capacity Amount) float64 {
 	return max(
-		share(int64(a.CPU), int64(whole.CPU)),
-		share(int64(a.Memory), int64(whole.Memory)),
-		share(a.Accelerators, whole.Accelerators),
+		share(int64(a.CPU), int64(capacity.CPU)),
+		share(int64(a.Memory), int64(capacity.Memory)),
+		share(a.Accelerators, capacity.Accelerators),
 	)
 }
 
-func share(part, whole int64) float64 {
+// share returns part/total, or 0 if both are 0.
+func share(part, total int64) float64 {
 	if part == 0 {
 		return 0
 	}
-	if whole == 0 {
+	if total == 0 {
 		return math.Inf(1)
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
-// String writes a as people read it, for example "2 cpu 4.0 GiB 1 acc".
+// String formats a, for example "2 cpu 4.0 GiB 1 acc".
 func (a Amount) String() string {
 	s := fmt.Sprintf("%s cpu %s", a.CPU, a.Memory)
 	if a.Accelerators != 0 {
@@ -106,12 +107,12 @@
 	return s
 }
 
-// String writes c in processors, for example "2" or "0.25".
+// String formats c in processors, for example "2" or "0.25".
 func (c MilliCPU) String() string {
 	return strconv.FormatFloat(float64(c)/1000, 'f', -1, 64)
 }
 
-// String writes b with a binary unit, for example "4.0 GiB".
+// String formats b with a binary unit, for example "4.0 GiB".
 func (b Bytes) String() string {
 	if b < 0 {
 		return "-" + humanize.IBytes(uint64(-b))
@@ -119,10 +120,10 @@
 	return humanize.IBytes(uint64(b))
 }
 
-// ParseError tells which text could not be read as an amount.
+// ParseError is the error for a text that is not a valid amount.
 type ParseError struct {
 	Text string
-	Want string
+	Want string // description of the expected format
 }
 
 func (e *ParseError) Error() string { return fmt.Sprintf("%q is not %s", e.Text, e.Want) }
@@ -130,13 +131,13 @@
 const (
 	wantCPU    = `a number of processors such as "2", "0.5" or "500m"`
 	wantMemory = `an amount of memory with its unit such as "512MiB" or "64GB"`
-	// maxCPU bounds what a setting may ask for: a million processors is a slip
-	// of the hand, and the bound keeps sums far from overflowing.
-	maxCPU = 1_000_000
-	maxMem = 1 << 50
+	// The largest values that UnmarshalFlag accepts, in processors and bytes. They
+	// catch typing errors and keep sums from overflowing.
+	maxCPU    = 1_000_000
+	maxMemory = 1 << 50
 )
 
-// UnmarshalFlag reads processors from a setting.
+// UnmarshalFlag parses a number of processors such as "0.5" or "500m".
 func (c *MilliCPU) UnmarshalFlag(text string) error {
 	scale := 1000.0
 	digits, milli := strings.CutSuffix(text, "m")
@@ -149,20 +150,20 @@
 	}
 	n := v * scale
 	if n != math.Trunc(n) {
-		return &ParseError{text, wantCPU + ", in whole thousandths"}
+		return &ParseError{text, wantCPU + ", a multiple of 0.001"}
 	}
 	*c = MilliCPU(n)
 	return nil
 }
 
-// UnmarshalFlag reads memory from a setting. A bare number is refused: it is
-// more often a forgotten unit than a count of bytes.
+// UnmarshalFlag parses an amount of memory such as "512MiB". It rejects a number
+// without a unit, except 0, since the unit was probably forgotten.
 func (b *Bytes) UnmarshalFlag(text string) error {
 	if _, err := strconv.ParseFloat(text, 64); err == nil && text != "0" {
 		return &ParseError{text, wantMemory}
 	}
 	v, err := humanize.ParseBytes(text)
-	if err != nil || v > maxMem {
+	if err != nil || v > maxMemory {
 		return &ParseError{text, wantMemory}
 	}
 	*b = Bytes(v)
