--- a/control/control.go
+++ b/control/control.go
@@ -1,7 +1,7 @@
-// Package control knows the rows by which the boxes agree: one for each box
-// that is alive, one for each unit of ownership, and the head of the
-// configuration. They stand under one prefix, so that one read a tick shows a
-// box all of them.
+// Package control defines the rows through which boxes coordinate: one heartbeat
+// per live box, one row per unit of ownership, and the head of the configuration.
+// They share a key prefix, so that a box reads all of them with one range request
+// per heartbeat interval.
 package control
 
 import (
@@ -20,19 +20,19 @@
 )
 
 const (
-	prefix     = "ctl/"
-	boxPrefix  = prefix + "box/"
-	unitPrefix = prefix + "unit/"
-	// HeadKey is the row that names the newest revision of the configuration.
-	HeadKey = prefix + "head"
-	// viewLimit bounds the rows of a view: boxes, units and the head.
-	viewLimit = 2000
+	controlPrefix = "ctl/"
+	boxPrefix     = controlPrefix + "box/"
+	unitPrefix    = controlPrefix + "unit/"
+	// HeadKey is the key of the HeadRow.
+	HeadKey = controlPrefix + "head"
+	// maxRows limits the rows that Read requests.
+	maxRows = 2000
 )
 
-// Incarnation names one run of a box's daemon. No two runs share one.
+// Incarnation identifies one run of a box's daemon. It is unique to the run.
 type Incarnation string
 
-// NewIncarnation returns a new incarnation of the box called name.
+// NewIncarnation returns a new incarnation of the box with the given name.
 func NewIncarnation(name string) Incarnation {
 	return Incarnation(name + "." + xid.New().String())
 }
@@ -43,63 +43,62 @@
 	return name
 }
 
-// BoxRow is a box's heartbeat.
+// BoxRow is the heartbeat of a box.
 type BoxRow struct {
 	Incarnation Incarnation `json:"incarnation" cbor:"1,keyasint"`
 	Hall        string      `json:"hall" cbor:"2,keyasint"`
-	Peer        string      `json:"peer" cbor:"3,keyasint"` // host:port for other boxes
-	HTTP        string      `json:"http" cbor:"4,keyasint"` // host:port for callers and operators
+	Peer        string      `json:"peer" cbor:"3,keyasint"` // host:port for requests from other boxes
+	HTTP        string      `json:"http" cbor:"4,keyasint"` // host:port for requests from clients and operators
 	Leaving     bool        `json:"leaving" cbor:"5,keyasint,omitempty"`
-	Beat        uint64      `json:"beat" cbor:"6,keyasint"`
+	// Beat is incremented with each heartbeat.
+	Beat uint64 `json:"beat" cbor:"6,keyasint"`
 }
 
-// Key returns the key of b's row.
 func (b BoxRow) Key() string { return boxPrefix + string(b.Incarnation) }
 
-// UnitRow says who owns a unit. Its version in the table is the fence: every
-// commit for the unit requires it.
+// UnitRow records the owner of a unit. Its version in the table is a fencing
+// token: every transaction on behalf of the unit requires that version.
 type UnitRow struct {
-	Owner Incarnation `cbor:"1,keyasint"` // empty when released
+	Owner Incarnation `cbor:"1,keyasint"` // empty if the unit was released
 	Epoch uint64      `cbor:"2,keyasint"`
-	// Sure is until when the owner before this one may have given out leases,
-	// by the clock of whoever wrote the row.
+	// Sure is the latest time at which a previous owner may have granted a lease,
+	// by the clock of the box that wrote the row.
 	Sure time.Time `cbor:"3,keyasint"`
 }
 
-// HeadRow names the newest revision.
+// HeadRow is the head of the configuration: the number of its newest revision.
 type HeadRow struct {
 	Revision uint64 `cbor:"1,keyasint"`
 }
 
-// Encode returns a row of this package as the table keeps it.
+// Encode encodes a row for storage in the table.
 func Encode[R BoxRow | UnitRow | HeadRow](r R) []byte { return codec.MustMarshal(r) }
 
-// UnitKey returns the key of a unit's row.
 func UnitKey(unit string) string { return unitPrefix + unit }
 
-// Versioned is a row and its version in the table.
+// Versioned is a row with its version in the table.
 type Versioned[R any] struct {
 	Row     R
 	Version uint64
 }
 
-// View is what the control rows said at one read.
+// View is a snapshot of the control rows.
 type View struct {
 	Boxes map[Incarnation]Versioned[BoxRow]
 	Units map[string]Versioned[UnitRow]
 	Head  Versioned[HeadRow]
-	// Asked is when the read was sent: the view is no older.
+	// Asked is the time just before the read request: the view is no older.
 	Asked time.Time
 }
 
-// Read reads the control rows.
+// Read reads the control rows, at most maxRows of them.
 func Read(ctx context.Context, t provider.Table) (View, error) {
 	v := View{
 		Boxes: map[Incarnation]Versioned[BoxRow]{},
 		Units: map[string]Versioned[UnitRow]{},
 		Asked: time.Now(),
 	}
-	rows, err := t.Range(ctx, prefix, "", viewLimit)
+	rows, err := t.Range(ctx, controlPrefix, "", maxRows)
 	if err != nil {
 		return v, err
 	}
@@ -134,7 +133,7 @@
 	return v, codec.Unmarshal(r.Value, &v.Row)
 }
 
-// RowError says that a row could not be read.
+// RowError is the error for a row whose value cannot be encoded or decoded.
 type RowError struct {
 	Key   string
 	Cause error
@@ -144,41 +143,43 @@
 
 func (e *RowError) Unwrap() error { return e.Cause }
 
-// Units returns the names of the units that a set declares, in order.
+// Units returns the sorted names of the units of all halls of a configuration.
 func Units(s config.Set) []string {
 	var names []string
 	for _, h := range s.Halls {
-		for part := range h.Units {
-			names = append(names, unitName(h, part))
+		for index := range h.Units {
+			names = append(names, unitName(h, index))
 		}
 	}
 	slices.Sort(names)
 	return names
 }
 
-// UnitsOf returns the names of a hall's units.
+// UnitsOf returns the names of the units of a hall.
 func UnitsOf(h config.Hall) []string {
 	var names []string
-	for part := range h.Units {
-		names = append(names, unitName(h, part))
+	for index := range h.Units {
+		names = append(names, unitName(h, index))
 	}
 	return names
 }
 
-// UnitOf returns the unit to which a rack of a hall belongs. Racks are spread
-// over a hall's units by their names.
+// UnitOf returns the name of the unit to which a rack of a hall belongs. Racks
+// are distributed over the hall's units by a hash of their names.
 //
-// A change of a hall's number of units moves racks between units. Ledgers and
-// jobs of the old units are not moved: an operator drains the hall first.
+// A change of a hall's number of units reassigns racks, but migrates neither
+// ledgers nor jobs: the hall must be drained first.
 func UnitOf(h config.Hall, rack string) string {
 	sum := fnv.New32a()
 	sum.Write([]byte(rack))
 	return unitName(h, int(sum.Sum32()%uint32(h.Units)))
 }
 
-func unitName(h config.Hall, part int) string {
+// unitName returns the name of a hall's unit. The only unit of a hall has the name
+// of the hall.
+func unitName(h config.Hall, index int) string {
 	if h.Units == 1 {
 		return h.Name
 	}
-	return fmt.Sprintf("%s-u%d", h.Name, part+1)
+	return fmt.Sprintf("%s-u%d", h.Name, index+1)
 }
