--- a/publish/publish.go
+++ b/publish/publish.go
@@ -1,9 +1,10 @@
-// Package publish accepts revisions of the configuration and brings them into
-// force on every box.
+// Package publish commits revisions of the configuration and applies them on
+// every box.
 //
-// A revision is accepted by one transaction that moves the head and inserts the
-// revision's row. A box learns of it from its peers, who push, or from the
-// head, which it reads every tick; it applies only higher revisions.
+// A revision is accepted by one transaction that advances the head and inserts
+// the revision's row. Other boxes receive it by a push from a peer, or read it once
+// they see the new head among the control rows. A box ignores a revision that is
+// not newer than its own.
 package publish
 
 import (
@@ -25,110 +26,113 @@
 	"chutereach/timeline"
 )
 
-// revisionKey returns the key of a revision's row; the digits keep the rows in
-// order.
+// revisionKey returns the key of a revision's row. The number is padded so that
+// keys sort by revision.
 func revisionKey(n uint64) string { return fmt.Sprintf("config/%016d", n) }
 
 const revisionPrefix = "config/"
 
-// Publisher holds the revision in force on this box.
+// Publisher holds the current revision of this box: the one it last applied.
 type Publisher struct {
-	sender *commit.Sender
-	events *timeline.Ring
-	log    zerolog.Logger
-	apply  []func(config.Revision)
+	sender    *commit.Sender
+	events    *timeline.Ring
+	log       zerolog.Logger
+	callbacks []func(config.Revision)
 
-	applying sync.Mutex // keeps revisions in order while they are applied
-	mu       sync.Mutex
-	current  config.Revision
-	since    time.Time
-	checked  time.Time // when the head was last known to be no higher
+	applyMu       sync.Mutex // held while callbacks run, so that they see revisions in order
+	mu            sync.Mutex
+	current       config.Revision
+	inForceSince  time.Time
+	headCheckedAt time.Time // when the head was last known to be no newer than current
 }
 
-// New returns a Publisher with no revision in force.
+// New returns a Publisher that has not applied a revision.
 func New(sender *commit.Sender, events *timeline.Ring, log zerolog.Logger) *Publisher {
 	return &Publisher{sender: sender, events: events, log: log, current: config.Revision{Set: config.NewSet()}}
 }
 
-// OnApply calls f with each revision that comes into force, in order. It must be
-// called before the first revision comes.
-func (p *Publisher) OnApply(f func(config.Revision)) { p.apply = append(p.apply, f) }
+// OnApply registers f to be called with each revision that is applied, in order.
+// It must be called before any revision is applied.
+func (p *Publisher) OnApply(f func(config.Revision)) { p.callbacks = append(p.callbacks, f) }
 
-// Current returns the revision in force; its Number is 0 before the first.
+// Current returns the current revision. Its Number is 0 if none was applied.
 func (p *Publisher) Current() config.Revision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.current
 }
 
-// Since returns since when the current revision has been in force here.
+// Since returns the time at which the current revision was applied on this box.
 func (p *Publisher) Since() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.since
+	return p.inForceSince
 }
 
-// Checked returns when the head was last seen to be no higher than the current
-// revision.
+// Checked returns the latest time at which the head is known to have been no newer
+// than the current revision.
 func (p *Publisher) Checked() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.checked
+	return p.headCheckedAt
 }
 
-// Apply brings r into force if it is higher than the current revision.
+// Apply makes r the current revision and runs the callbacks, if r is newer than
+// the current revision.
 func (p *Publisher) Apply(r config.Revision) {
-	p.applying.Lock()
-	defer p.applying.Unlock()
+	p.applyMu.Lock()
+	defer p.applyMu.Unlock()
 	p.mu.Lock()
 	if r.Number <= p.current.Number {
 		p.mu.Unlock()
 		return
 	}
-	p.current, p.since = r, time.Now()
+	p.current, p.inForceSince = r, time.Now()
 	p.mu.Unlock()
 	p.events.Add(timeline.Event{Kind: timeline.ConfigInForce, Detail: fmt.Sprintf("revision %d by %s", r.Number, r.Author)})
-	p.log.Info().Uint64("revision", r.Number).Msg("Revision is in force.")
-	for _, f := range p.apply {
+	p.log.Info().Uint64("revision", r.Number).Msg("configuration revision applied")
+	for _, f := range p.callbacks {
 		f(r)
 	}
 }
 
-// SetView follows the head that a view shows.
+// SetView reads and applies the revision at the head in v, if it is newer than the
+// current one.
 func (p *Publisher) SetView(ctx context.Context, v control.View) {
 	if v.Head.Row.Revision > p.Current().Number {
 		r, err := p.Read(ctx, v.Head.Row.Revision)
 		if err != nil {
-			p.log.Warn().Err(err).Uint64("revision", v.Head.Row.Revision).Msg("Revision cannot be read.")
+			p.log.Warn().Err(err).Uint64("revision", v.Head.Row.Revision).Msg("cannot read configuration revision")
 			return
 		}
 		p.Apply(r)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.checked = v.Asked
+	p.headCheckedAt = v.Asked
 }
 
-// Heard brings a revision into force that a peer has, read by read from there. It
-// is how a box follows while the table is out of reach.
+// Heard applies the revision with the given number, which read fetches from a peer,
+// if it is newer than the current one. It lets a box receive revisions while it
+// cannot reach the table.
 func (p *Publisher) Heard(number uint64, read func() (config.Revision, error)) {
 	if number <= p.Current().Number {
 		return
 	}
 	r, err := read()
 	if err != nil {
-		p.log.Warn().Err(err).Uint64("revision", number).Msg("Revision cannot be had from a peer.")
+		p.log.Warn().Err(err).Uint64("revision", number).Msg("cannot fetch configuration revision from a peer")
 		return
 	}
 	p.Apply(r)
 }
 
-// NoRevisionError says that there is no such revision.
+// NoRevisionError is the error for a revision that does not exist.
 type NoRevisionError struct{ Number uint64 }
 
 func (e *NoRevisionError) Error() string { return fmt.Sprintf("there is no revision %d", e.Number) }
 
-// Read reads an accepted revision.
+// Read reads an accepted revision from the table.
 func (p *Publisher) Read(ctx context.Context, n uint64) (config.Revision, error) {
 	row, err := p.sender.Table().Get(ctx, revisionKey(n))
 	if err != nil {
@@ -144,56 +148,58 @@
 	return r, nil
 }
 
-// ConflictError says that another operator's revision was accepted first.
+// ConflictError is the error for a change whose base is not the head, because
+// another revision was accepted first.
 type ConflictError struct {
 	Base   uint64
 	Winner config.Revision
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("revision %d by %s was accepted since revision %d, on which this change rests; "+
-		"run 'chutereach plan' again and look at what differs", e.Winner.Number, e.Winner.Author, e.Base)
+	return fmt.Sprintf("revision %d by %s was accepted after revision %d, on which this change is based; "+
+		"run 'chutereach plan' again and review the differences", e.Winner.Number, e.Winner.Author, e.Base)
 }
 
-// CodeConflict is the code of a ConflictError.
 const CodeConflict peer.Code = "conflict"
 
 // Code implements peer.Coder.
 func (e *ConflictError) Code() peer.Code { return CodeConflict }
 
-// Proposal is a change that an operator wants accepted.
+// Proposal is a change to the configuration that an operator submits.
 type Proposal struct {
-	Base    uint64     `json:"base"` // the revision on which it rests
+	Base    uint64     `json:"base"` // number of the revision on which the change is based
 	Set     config.Set `json:"set"`
 	Author  string     `json:"author"`
 	Message string     `json:"message,omitempty"`
 }
 
-// Propose accepts a change: it becomes the next revision, or there is a
-// ConflictError. A lost answer is settled by the sender, never guessed.
-func (p *Publisher) Propose(ctx context.Context, c Proposal) (config.Revision, error) {
-	if errs := c.Set.Check(); len(errs) > 0 {
+// Propose commits a change as the next revision and applies it on this box. It
+// returns a ConflictError if the head is not the base of the change. If the answer
+// to the transaction is lost, the sender repeats it until the outcome is known or
+// ctx ends.
+func (p *Publisher) Propose(ctx context.Context, proposal Proposal) (config.Revision, error) {
+	if errs := proposal.Set.Check(); len(errs) > 0 {
 		return config.Revision{}, errs[0]
 	}
-	head, err := p.head(ctx)
+	head, err := p.readHead(ctx)
 	if err != nil {
 		return config.Revision{}, err
 	}
-	if head.Row.Revision != c.Base {
-		return config.Revision{}, p.conflict(ctx, c, head.Row.Revision)
+	if head.Row.Revision != proposal.Base {
+		return config.Revision{}, p.newConflictError(ctx, proposal, head.Row.Revision)
 	}
-	r := config.Revision{Number: c.Base + 1, Set: c.Set, Author: c.Author, Message: c.Message, At: time.Now().UTC()}
+	r := config.Revision{Number: proposal.Base + 1, Set: proposal.Set, Author: proposal.Author, Message: proposal.Message, At: time.Now().UTC()}
 	data, err := codec.Marshal(r)
 	if err != nil {
 		return config.Revision{}, &control.RowError{Key: revisionKey(r.Number), Cause: err}
 	}
-	t := provider.Txn{ID: xid.New().String()}.
+	txn := provider.Txn{ID: xid.New().String()}.
 		Put(control.HeadKey, head.Version, control.Encode(control.HeadRow{Revision: r.Number})).
 		Put(revisionKey(r.Number), 0, data)
-	_, err = p.sender.Do(ctx, t)
+	_, err = p.sender.Do(ctx, txn)
 	var conflict *provider.ConflictError
 	if errors.As(err, &conflict) {
-		return config.Revision{}, p.conflict(ctx, c, r.Number)
+		return config.Revision{}, p.newConflictError(ctx, proposal, r.Number)
 	}
 	if err != nil {
 		return config.Revision{}, err
@@ -203,7 +209,8 @@
 	return r, nil
 }
 
-func (p *Publisher) head(ctx context.Context) (control.Versioned[control.HeadRow], error) {
+// readHead reads the head. It returns a zero row if there is none.
+func (p *Publisher) readHead(ctx context.Context) (control.Versioned[control.HeadRow], error) {
 	var head control.Versioned[control.HeadRow]
 	row, err := p.sender.Table().Get(ctx, control.HeadKey)
 	if err != nil || !row.Exists() {
@@ -213,16 +220,18 @@
 	return head, codec.Unmarshal(row.Value, &head.Row)
 }
 
-// conflict names the revision that came first.
-func (p *Publisher) conflict(ctx context.Context, c Proposal, winner uint64) error {
+// newConflictError returns a ConflictError with the accepted revision, or with a
+// placeholder if that cannot be read.
+func (p *Publisher) newConflictError(ctx context.Context, proposal Proposal, winner uint64) error {
 	r, err := p.Read(ctx, winner)
 	if err != nil {
 		r = config.Revision{Number: winner, Author: "another operator"}
 	}
-	return &ConflictError{c.Base, r}
+	return &ConflictError{proposal.Base, r}
 }
 
-// History returns the newest revisions, the newest first, without their sets.
+// History returns the newest revisions without their sets, newest first. At most
+// limit are returned, counted back from the current revision.
 func (p *Publisher) History(ctx context.Context, limit int) ([]config.Revision, error) {
 	from := ""
 	if n := p.Current().Number; n > uint64(limit) {
