--- a/queue/queue.go
+++ b/queue/queue.go
@@ -127,7 +127,7 @@
 	Halt                  // end the round
 )
 
-// Round calls offer with items in order until every item is parked or offer
+// Round calls offer with items in order until every item is skipped or offer
 // returns Halt. offer may increase the usage of the item's account, which lowers
 // the account's priority. It must not call Add or Remove.
 func (q *Queue[I]) Round(now time.Time, offer func(I) Verdict) {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -31,7 +31,7 @@
 }
 
 // roundOrder returns the names of the items in the order in which a round offers
-// them, parking each.
+// them, skipping each.
 func roundOrder(q *Queue[*item], now time.Time) []string {
 	var names []string
 	q.Round(now, func(i *item) Verdict {
