--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -1,15 +1,16 @@
-// Package ownership keeps a box's heartbeat in the table, and by it the units
-// that the box owns.
+// Package ownership assigns units to boxes and detects failed owners by their
+// heartbeats in the table.
 //
-// A box renews one row, whatever it owns. A unit's row names its owner's
-// incarnation. When a heartbeat has lapsed, any box may take the units over, in
-// one transaction that requires the heartbeat to be as it was seen and deletes
-// it: from then on the old owner cannot renew, and every commit of its units
-// fails, because each requires the unit's row.
+// A box renews a single heartbeat row, however many units it owns. The row of a
+// unit names the incarnation that owns it. Once a heartbeat has expired, any box
+// may take over the units in one transaction, which requires the heartbeat row to
+// be at the observed version and deletes it. After that the previous owner cannot
+// renew its heartbeat, and its commits for these units fail, because each of them
+// requires the version of the unit's row.
 //
-// Whether a heartbeat has lapsed is judged by the observer's own clock alone:
-// the row has not changed for the setting Lapse, plus the time that the
-// observer's own heartbeat takes, so that a slow table makes the boxes patient
-// rather than quarrelsome. The owner counts from before it sent its heartbeat,
-// and so is never surer than the observers.
+// Each observer judges expiry by its own clock only: a heartbeat has expired when
+// its row has not changed for Settings.Lapse plus the duration of the observer's
+// own last heartbeat write. The added duration keeps a slow table from causing
+// takeovers. An owner counts Settings.Lapse from before it sent its last heartbeat,
+// so its ownership ends before any observer considers it expired.
 package ownership
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -17,98 +17,99 @@
 	"chutereach/wait"
 )
 
-// Settings are the times by which a Keeper goes.
+// Settings holds the timing parameters of a Keeper.
 type Settings struct {
-	Beat  time.Duration // between heartbeats, and between reads of the rows
-	Lapse time.Duration // after which an unchanged heartbeat counts as lapsed
+	Beat  time.Duration // interval between heartbeats, and between reads of the control rows
+	Lapse time.Duration // time after which an unchanged heartbeat has expired
 }
 
 // Hold is a box's ownership of a unit.
 type Hold struct {
 	Unit    string
 	Epoch   uint64
-	Version uint64 // of the unit's row; commits require it
-	// Before is until when an earlier owner may have given out task leases and
-	// calls; a task lease of length L from it has lapsed by Before plus L.
+	Version uint64 // version of the unit's row, required by every commit for the unit
+	// Before is the time until which a previous owner may have granted task leases
+	// and issued calls. A task lease of duration L from it expires by Before plus L.
 	Before time.Time
 }
 
-// Owner runs what a box owns.
+// Owner runs the units that are assigned to a box.
 type Owner interface {
-	// Own begins to run a unit. It must not block.
+	// Own starts a unit. It must not block.
 	Own(h Hold)
-	// Disown ends it and returns when nothing more will be sent for it. It
-	// returns until when leases were given out, by this box's clock.
-	Disown(unit string) (sure time.Time)
+	// Disown stops a unit and blocks until nothing more is sent for it. It returns
+	// the time, by this box's clock, until which leases may have been granted.
+	Disown(unit string) (validUntil time.Time)
 }
 
-// Keeper keeps one box's heartbeat and units.
+// Keeper maintains the heartbeat of one box and the set of units it owns.
 type Keeper struct {
-	self   control.BoxRow
-	set    Settings
-	sender *commit.Sender
-	owner  Owner
-	log    zerolog.Logger
+	self     control.BoxRow
+	settings Settings
+	sender   *commit.Sender
+	owner    Owner
+	log      zerolog.Logger
 
-	mu       sync.Mutex
-	version  uint64        // of the heartbeat's row
-	beaten   clock.Instant // when the last heartbeat that was written was sent
-	took     time.Duration
-	dead     error // why this incarnation is over
-	held     map[string]Hold
-	view     control.View
-	seen     map[control.Incarnation]sighting
-	units    []string // that the configuration declares
-	onView   []func(control.View)
-	leaving  bool
-	deferral map[string]int // ticks for which a free unit was left to others
+	mu                sync.Mutex
+	version           uint64        // version of the heartbeat row, 0 before the first write
+	lastHeartbeatSent clock.Instant // start of the last successful heartbeat write
+	heartbeatRTT      time.Duration // duration of the last successful heartbeat write
+	dead              error         // unused
+	held              map[string]Hold
+	view              control.View
+	observations      map[control.Incarnation]heartbeatObservation
+	units             []string // units that the configuration declares
+	viewListeners     []func(control.View)
+	leaving           bool
+	deferredReads     map[string]int // number of reads for which a free unit was left to other boxes
 }
 
-// sighting is when a heartbeat's row was first seen at its version.
-type sighting struct {
-	version uint64
-	since   time.Time
-	ticks   int
+// heartbeatObservation records when the current version of a heartbeat row was first
+// seen.
+type heartbeatObservation struct {
+	version        uint64
+	unchangedSince time.Time
+	reads          int // number of reads that contained the row
 }
 
-// New returns the Keeper of a box.
-func New(self control.BoxRow, set Settings, sender *commit.Sender, owner Owner, log zerolog.Logger) *Keeper {
+func New(self control.BoxRow, settings Settings, sender *commit.Sender, owner Owner, log zerolog.Logger) *Keeper {
 	return &Keeper{
-		self: self, set: set, sender: sender, owner: owner, log: log,
-		held: map[string]Hold{}, seen: map[control.Incarnation]sighting{}, deferral: map[string]int{},
+		self: self, settings: settings, sender: sender, owner: owner, log: log,
+		held: map[string]Hold{}, observations: map[control.Incarnation]heartbeatObservation{}, deferredReads: map[string]int{},
 	}
 }
 
-// OnView calls f with every view that the Keeper reads. It must be called
-// before Run.
-func (k *Keeper) OnView(f func(control.View)) { k.onView = append(k.onView, f) }
+// OnView registers f to be called with every view that the Keeper reads. It must
+// be called before Run.
+func (k *Keeper) OnView(f func(control.View)) { k.viewListeners = append(k.viewListeners, f) }
 
-// SetUnits says which units the configuration declares.
+// SetUnits sets the units that the configuration declares.
 func (k *Keeper) SetUnits(units []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.units = units
 }
 
-// Sure returns until when no other box can have taken over this box's units. Other boxes
-// count from its last heartbeat, also while this machine is suspended.
+// Sure returns the time until which no other box can take over this box's units.
+// It is counted from the last heartbeat, including time during which this machine
+// was suspended, and is zero before the first heartbeat.
 func (k *Keeper) Sure() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.beaten.IsZero() {
+	if k.lastHeartbeatSent.IsZero() {
 		return time.Time{}
 	}
-	return k.beaten.After(k.set.Lapse)
+	return k.lastHeartbeatSent.After(k.settings.Lapse)
 }
 
-// View returns the newest view.
+// View returns the view that was read last.
 func (k *Keeper) View() control.View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.view
 }
 
-// Held returns the units that this box owns.
+// Held returns a copy of the map of units that this box owns.
 func (k *Keeper) Held() map[string]Hold {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -119,44 +120,47 @@
 	return held
 }
 
-// FencedError says that another box declared this incarnation dead. The daemon
-// must begin again as a new one.
+// FencedError reports that another box declared this incarnation dead. The daemon
+// must restart with a new incarnation.
 type FencedError struct{ Incarnation control.Incarnation }
 
 func (e *FencedError) Error() string {
 	return "incarnation " + string(e.Incarnation) + " was declared dead by another box"
 }
 
-// Run keeps the heartbeat and the units until ctx ends or the incarnation is
-// declared dead, which is a FencedError. Units are given up before it returns.
+// Run sends heartbeats and reconciles the units until ctx ends, in which case it
+// returns nil, or until the incarnation is declared dead, in which case it stops
+// all units and returns a FencedError.
 func (k *Keeper) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wg sync.WaitGroup
-	wg.Go(func() { k.every(ctx, func() { k.beat(ctx, cancel) }) })
-	wg.Go(func() { k.every(ctx, func() { k.survey(ctx) }) })
+	wg.Go(func() { k.runPeriodically(ctx, func() { k.sendHeartbeat(ctx, cancel) }) })
+	wg.Go(func() { k.runPeriodically(ctx, func() { k.readAndReconcile(ctx) }) })
 	wg.Wait()
 	cause := context.Cause(ctx)
 	var fenced *FencedError
 	if errors.As(cause, &fenced) {
-		k.disownAll()
+		k.stopAllUnits()
 		return fenced
 	}
 	return nil
 }
 
-// every calls f each Beat, counted from call to call, and a little early so
-// that boxes spread. After a call that took longer it calls at once.
-func (k *Keeper) every(ctx context.Context, f func()) {
+// runPeriodically calls f until ctx ends. The interval between the starts of two
+// calls is Settings.Beat, less up to 10 % of jitter so that boxes don't synchronize.
+// If a call took longer than the interval, the next one starts immediately.
+func (k *Keeper) runPeriodically(ctx context.Context, f func()) {
 	for ctx.Err() == nil {
-		next := time.Now().Add(k.set.Beat - time.Duration(rand.Int64N(int64(k.set.Beat)/10+1)))
+		next := time.Now().Add(k.settings.Beat - time.Duration(rand.Int64N(int64(k.settings.Beat)/10+1)))
 		f()
 		wait.For(ctx, time.Until(next))
 	}
 }
 
-// beat renews the heartbeat once.
-func (k *Keeper) beat(ctx context.Context, fence context.CancelCauseFunc) {
+// sendHeartbeat renews the heartbeat row. It calls fence if the row is no longer at
+// the version that this box wrote, as another box has declared this one dead.
+func (k *Keeper) sendHeartbeat(ctx context.Context, fence context.CancelCauseFunc) {
 	k.mu.Lock()
 	k.self.Beat++
 	row, version := k.self, k.version
@@ -174,73 +178,76 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.version, k.took = next, sent.Since()
-	k.beaten = sent
+	k.version, k.heartbeatRTT = next, sent.Since()
+	k.lastHeartbeatSent = sent
 }
 
-// survey reads the control rows and acts on them, and once more at once if
-// another box was faster: what it left is free to take now.
-func (k *Keeper) survey(ctx context.Context) {
-	if k.look(ctx) {
-		k.look(ctx)
+// readAndReconcile reads the control rows and acts on them. If another box changed
+// the rows first, it retries once, as that box may have left units to take.
+func (k *Keeper) readAndReconcile(ctx context.Context) {
+	if k.readOnce(ctx) {
+		k.readOnce(ctx)
 	}
 }
 
-func (k *Keeper) look(ctx context.Context) (stale bool) {
+// readOnce reads the control rows, passes them to the listeners and reconciles. It
+// reports whether the rows had changed since they were read.
+func (k *Keeper) readOnce(ctx context.Context) (stale bool) {
 	v, err := control.Read(ctx, k.sender.Table())
 	if err != nil {
 		if ctx.Err() == nil {
-			k.log.Warn().Err(err).Msg("Control rows cannot be read.")
+			k.log.Warn().Err(err).Msg("Failed to read the control rows.")
 		}
 		return false
 	}
 	k.mu.Lock()
 	k.view = v
-	k.sight(v)
+	k.observeHeartbeats(v)
 	k.mu.Unlock()
-	for _, f := range k.onView {
+	for _, f := range k.viewListeners {
 		f(v)
 	}
 	k.mu.Lock()
 	inTable := k.version != 0
 	k.mu.Unlock()
-	return inTable && k.settle(ctx, v)
+	return inTable && k.reconcile(ctx, v)
 }
 
-// sight notes since when each heartbeat has stood unchanged. The caller holds
-// k.mu.
-func (k *Keeper) sight(v control.View) {
+// observeHeartbeats records for each heartbeat row when its current version was
+// first seen. The caller holds k.mu.
+func (k *Keeper) observeHeartbeats(v control.View) {
 	for i, b := range v.Boxes {
-		s, known := k.seen[i]
+		s, known := k.observations[i]
 		if !known || s.version != b.Version {
-			s = sighting{version: b.Version, since: time.Now(), ticks: s.ticks}
+			s = heartbeatObservation{version: b.Version, unchangedSince: time.Now(), reads: s.reads}
 		}
-		s.ticks++
-		k.seen[i] = s
+		s.reads++
+		k.observations[i] = s
 	}
-	for i := range k.seen {
-		if _, there := v.Boxes[i]; !there {
-			delete(k.seen, i)
+	for i := range k.observations {
+		if _, exists := v.Boxes[i]; !exists {
+			delete(k.observations, i)
 		}
 	}
 }
 
-// lapsed reports whether a box's heartbeat has lapsed. The caller holds k.mu.
-func (k *Keeper) lapsed(i control.Incarnation) bool {
-	s, known := k.seen[i]
-	return !known || time.Since(s.since) > k.set.Lapse+k.took
+// heartbeatExpired reports whether the heartbeat of a box has expired. The caller
+// holds k.mu.
+func (k *Keeper) heartbeatExpired(i control.Incarnation) bool {
+	s, known := k.observations[i]
+	return !known || time.Since(s.unchangedSince) > k.settings.Lapse+k.heartbeatRTT
 }
 
-// SetDrained makes the box give up its units, one a tick, and take none, for as
-// long as it is drained.
+// SetDrained sets whether the box is drained. A drained box releases one unit per
+// read of the control rows and takes none.
 func (k *Keeper) SetDrained(drained bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.self.Leaving = drained || k.leaving
 }
 
-// Leave makes the box give up its units, one after the other, and take no more.
-// It returns when all are released or ctx ends.
+// Leave stops the box from taking units, releases the units it owns one by one and
+// deletes its heartbeat row. It returns when this is done or ctx ends.
 func (k *Keeper) Leave(ctx context.Context) {
 	k.mu.Lock()
 	k.leaving, k.self.Leaving = true, true
@@ -251,26 +258,27 @@
 	k.mu.Lock()
 	row, version := k.self, k.version
 	k.mu.Unlock()
-	// The row may have been renewed meanwhile; then it lapses like any other.
-	gone := provider.Txn{ID: xid.New().String()}.Remove(row.Key(), version)
-	k.sender.Do(ctx, gone)
+	// A heartbeat sent in the meantime makes this fail; the row then expires.
+	removal := provider.Txn{ID: xid.New().String()}.Remove(row.Key(), version)
+	k.sender.Do(ctx, removal)
 }
 
-// GiveUp releases a unit that cannot be run here any more, so that a box takes
-// it over afresh.
+// GiveUp releases a unit that can no longer run on this box, so that a box takes it
+// over and starts it again.
 func (k *Keeper) GiveUp(ctx context.Context, unit string) { k.release(ctx, unit) }
 
-func (k *Keeper) disownAll() {
+func (k *Keeper) stopAllUnits() {
 	for unit := range k.Held() {
-		k.drop(unit)
+		k.stopUnit(unit)
 	}
 }
 
-// drop ends a unit here without a word to the table.
-func (k *Keeper) drop(unit string) time.Time {
-	sure := k.owner.Disown(unit)
+// stopUnit stops a unit on this box without changing its row. It returns the time
+// until which leases may have been granted.
+func (k *Keeper) stopUnit(unit string) time.Time {
+	validUntil := k.owner.Disown(unit)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.held, unit)
-	return sure
+	return validUntil
 }
--- a/ownership/keeper_test.go
+++ b/ownership/keeper_test.go
@@ -21,64 +21,64 @@
 
 var testTimes = Settings{Beat: time.Second, Lapse: 3 * time.Second}
 
-// owner is an Owner that only notes what it owns.
-type owner struct {
+// recordingOwner is an Owner that only records the units it owns.
+type recordingOwner struct {
 	mu   sync.Mutex
 	held map[string]Hold
 }
 
-func (o *owner) Own(h Hold) {
+func (o *recordingOwner) Own(h Hold) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.held[h.Unit] = h
 }
 
-func (o *owner) Disown(unit string) time.Time {
+func (o *recordingOwner) Disown(unit string) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.held, unit)
 	return time.Now()
 }
 
-// node is one box of a test cell. Its table is its own view of the shared one,
-// so that it can be cut off alone.
-type node struct {
+// testBox is one box of a testCell. It reaches the shared table through a
+// faultyTable of its own, so that it can be disconnected alone.
+type testBox struct {
 	*Keeper
-	owner  *owner
+	owner  *recordingOwner
 	cancel context.CancelFunc
 	ended  chan error
-	cut    *cutTable
+	table  *faultyTable
 }
 
-// cutTable is the shared table by way of a link that can fail.
-type cutTable struct {
+// faultyTable injects faults into one box's access to the shared table.
+type faultyTable struct {
 	*standin.Table
 	faults standin.Faults
 }
 
-func (c *cutTable) Commit(ctx context.Context, t provider.Txn) (uint64, error) {
+func (c *faultyTable) Commit(ctx context.Context, t provider.Txn) (uint64, error) {
 	return standin.Through(ctx, &c.faults, provider.TableService, standin.OpCommit, "", func() (uint64, error) {
 		return c.Table.Commit(ctx, t)
 	})
 }
 
-func (c *cutTable) Range(ctx context.Context, prefix, after string, limit int) ([]provider.Row, error) {
+func (c *faultyTable) Range(ctx context.Context, prefix, after string, limit int) ([]provider.Row, error) {
 	return standin.Through(ctx, &c.faults, provider.TableService, standin.OpRange, "", func() ([]provider.Row, error) {
 		return c.Table.Range(ctx, prefix, after, limit)
 	})
 }
 
-// cell is a number of boxes on one table.
-type cell struct {
+// testCell is a set of boxes that share one table.
+type testCell struct {
 	t     *testing.T
 	table *standin.Table
 	units []string
-	nodes []*node
-	moves int // ownerships that began
+	boxes []*testBox
+	moves int // unused
 }
 
-func newCell(t *testing.T, boxes, units int) *cell {
-	c := &cell{t: t, table: standin.NewTable()}
+func newCell(t *testing.T, boxes, units int) *testCell {
+	c := &testCell{t: t, table: standin.NewTable()}
 	for i := range units {
 		c.units = append(c.units, fmt.Sprintf("u%02d", i))
 	}
@@ -88,49 +88,49 @@
 	return c
 }
 
-func (c *cell) start() *node {
-	n := &node{owner: &owner{held: map[string]Hold{}}, ended: make(chan error, 1), cut: &cutTable{Table: c.table}}
-	self := control.BoxRow{Incarnation: control.NewIncarnation(fmt.Sprintf("box-%d", len(c.nodes)+1))}
-	sender := commit.NewSender(n.cut, rate.NewLimiter(rate.Inf, 1))
+func (c *testCell) start() *testBox {
+	n := &testBox{owner: &recordingOwner{held: map[string]Hold{}}, ended: make(chan error, 1), table: &faultyTable{Table: c.table}}
+	self := control.BoxRow{Incarnation: control.NewIncarnation(fmt.Sprintf("box-%d", len(c.boxes)+1))}
+	sender := commit.NewSender(n.table, rate.NewLimiter(rate.Inf, 1))
 	n.Keeper = New(self, testTimes, sender, n.owner, zerolog.Nop())
 	n.SetUnits(c.units)
 	var ctx context.Context
 	ctx, n.cancel = context.WithCancel(context.Background())
 	go func() { n.ended <- n.Run(ctx) }()
-	c.nodes = append(c.nodes, n)
+	c.boxes = append(c.boxes, n)
 	return n
 }
 
-func (c *cell) stop() {
-	for _, n := range c.nodes {
+func (c *testCell) stop() {
+	for _, n := range c.boxes {
 		n.cancel()
 	}
 }
 
-// owners returns who holds each unit and is sure of it. Two at once is what must
-// never be.
-func (c *cell) owners() map[string]*node {
-	sure := map[string]*node{}
-	for _, n := range c.nodes {
+// currentOwners returns the box that validly owns each unit, and fails the test if a
+// unit has two valid owners at once.
+func (c *testCell) currentOwners() map[string]*testBox {
+	owners := map[string]*testBox{}
+	for _, n := range c.boxes {
 		if !time.Now().Before(n.Sure()) {
 			continue
 		}
 		for unit := range n.Held() {
-			if other := sure[unit]; other != nil {
+			if other := owners[unit]; other != nil {
 				c.t.Errorf("%s is held by %s and %s at once", unit, other.self.Incarnation, n.self.Incarnation)
 			}
-			sure[unit] = n
+			owners[unit] = n
 		}
 	}
-	return sure
+	return owners
 }
 
-// watch looks at the owners all the time for d, and returns how often a unit
-// changed hands.
-func (c *cell) watch(d time.Duration) (moves int) {
-	last := c.owners()
+// countMoves checks the owners repeatedly for d, and returns how often the owner of a
+// unit changed.
+func (c *testCell) countMoves(d time.Duration) (moves int) {
+	last := c.currentOwners()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		now := c.owners()
+		now := c.currentOwners()
 		for unit, n := range now {
 			if last[unit] != n {
 				moves++
@@ -141,11 +141,11 @@
 	return moves
 }
 
-// running returns how many units are run by a box that is alive. With a slow
-// table their owners are not always sure of them.
-func (c *cell) running() int {
+// runningUnits returns the number of units that a live box runs. It doesn't require
+// valid ownership, which can expire for short times while the table is slow.
+func (c *testCell) runningUnits() int {
 	units := map[string]bool{}
-	for _, n := range c.nodes {
+	for _, n := range c.boxes {
 		if len(n.ended) > 0 {
 			continue
 		}
@@ -156,16 +156,16 @@
 	return len(units)
 }
 
-func (c *cell) counts() []int {
+func (c *testCell) unitCounts() []int {
 	var counts []int
-	for _, n := range c.nodes {
+	for _, n := range c.boxes {
 		counts = append(counts, len(n.Held()))
 	}
 	slices.Sort(counts)
 	return counts
 }
 
-func TestSpreadSettlesAndStays(t *testing.T) {
+func TestDistributionConverges(t *testing.T) {
 	for _, c := range []struct {
 		boxes, units int
 		want         []int
@@ -180,39 +180,39 @@
 			synctest.Test(t, func(t *testing.T) {
 				cell := newCell(t, c.boxes, c.units)
 				defer cell.stop()
-				cell.watch(time.Minute)
-				if got := cell.counts(); !slices.Equal(got, c.want) {
+				cell.countMoves(time.Minute)
+				if got := cell.unitCounts(); !slices.Equal(got, c.want) {
 					t.Errorf("units by box = %v, want %v", got, c.want)
 				}
-				if moves := cell.watch(5 * time.Minute); moves > 0 {
-					t.Errorf("%d units changed hands with nothing going on", moves)
+				if moves := cell.countMoves(5 * time.Minute); moves > 0 {
+					t.Errorf("%d ownership changes without a change of boxes or units, want 0", moves)
 				}
 			})
 		})
 	}
 }
 
-func TestUnitsOutliveTheirOwners(t *testing.T) {
+func TestUnitsFailOver(t *testing.T) {
 	slow := standin.Fault{Delay: 2 * time.Second}
 	lost := standin.Fault{Lose: true}
 	for _, c := range []struct {
 		name  string
-		fault func(*cell)
-		// within is when every unit has a sure owner again.
+		fault func(*testCell)
+		// within is the time after which every unit must be running again.
 		within time.Duration
 	}{
-		{"killed", func(c *cell) { c.nodes[0].cancel() }, 8 * time.Second},
-		{"two killed at once", func(c *cell) { c.nodes[0].cancel(); c.nodes[1].cancel() }, 8 * time.Second},
-		{"leaves", func(c *cell) { c.nodes[0].Leave(context.Background()); c.nodes[0].cancel() }, 6 * time.Second},
-		{"cut off from the table", func(c *cell) {
-			c.nodes[0].cut.faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
+		{"killed", func(c *testCell) { c.boxes[0].cancel() }, 8 * time.Second},
+		{"two killed at once", func(c *testCell) { c.boxes[0].cancel(); c.boxes[1].cancel() }, 8 * time.Second},
+		{"leaves", func(c *testCell) { c.boxes[0].Leave(context.Background()); c.boxes[0].cancel() }, 6 * time.Second},
+		{"disconnected from the table", func(c *testCell) {
+			c.boxes[0].table.faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
 		}, 9 * time.Second},
-		{"its writes lose their answers", func(c *cell) { c.nodes[0].cut.faults.Always(lost) }, 9 * time.Second},
-		{"killed while the table is slow", func(c *cell) {
+		{"responses to its writes are lost", func(c *testCell) { c.boxes[0].table.faults.Always(lost) }, 9 * time.Second},
+		{"killed while the table is slow", func(c *testCell) {
 			c.table.Faults.Always(slow)
-			c.nodes[0].cancel()
+			c.boxes[0].cancel()
 		}, 40 * time.Second},
-		{"the table is down for all, then back", func(c *cell) {
+		{"table outage for all boxes", func(c *testCell) {
 			c.table.Faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
 			time.Sleep(time.Minute)
 			c.table.Faults.Clear()
@@ -222,78 +222,79 @@
 			synctest.Test(t, func(t *testing.T) {
 				cell := newCell(t, 4, 11)
 				defer cell.stop()
-				cell.watch(30 * time.Second)
+				cell.countMoves(30 * time.Second)
 				c.fault(cell)
-				cell.watch(c.within)
-				if got := cell.running(); got != len(cell.units) {
-					t.Errorf("%d of %d units have an owner after %v", got, len(cell.units), c.within)
+				cell.countMoves(c.within)
+				if got := cell.runningUnits(); got != len(cell.units) {
+					t.Errorf("%d of %d units are running after %v", got, len(cell.units), c.within)
 				}
-				cell.watch(time.Minute)
+				cell.countMoves(time.Minute)
 			})
 		})
 	}
 }
 
-// A box that was cut off, or paused, and comes back learns that it is dead: its
-// row was deleted, and no heartbeat brings it back.
-func TestFencedBoxLearnsOfIt(t *testing.T) {
+// A box that reconnects after its heartbeat expired must end with a FencedError and
+// run no units. A heartbeat must not recreate its deleted row.
+func TestFencedBoxStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 3, 6)
 		defer c.stop()
-		c.watch(30 * time.Second)
-		n := c.nodes[0]
-		n.cut.faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
-		c.watch(20 * time.Second)
-		n.cut.faults.Clear()
+		c.countMoves(30 * time.Second)
+		n := c.boxes[0]
+		n.table.faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
+		c.countMoves(20 * time.Second)
+		n.table.faults.Clear()
 		err := <-n.ended
 		var fenced *FencedError
 		if !errors.As(err, &fenced) || fenced.Incarnation != n.self.Incarnation {
-			t.Errorf("the box ended with %v", err)
+			t.Errorf("Run = %v, want a FencedError for %s", err, n.self.Incarnation)
 		}
 		if held := n.owner.held; len(held) > 0 {
-			t.Errorf("it still runs %v", held)
+			t.Errorf("fenced box still runs %v", held)
 		}
 	})
 }
 
-// A drained box owns nothing, and gets its share back when the drain is undone.
+// A drained box must release all its units, and get its share back once it is no
+// longer drained.
 func TestDrainedBoxOwnsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 3, 9)
 		defer c.stop()
-		c.watch(30 * time.Second)
-		n := c.nodes[1]
+		c.countMoves(30 * time.Second)
+		n := c.boxes[1]
 		n.SetDrained(true)
-		c.watch(20 * time.Second)
-		if held := len(n.Held()); held != 0 || c.running() != 9 {
-			t.Errorf("the drained box owns %d units, %d of 9 are run", held, c.running())
+		c.countMoves(20 * time.Second)
+		if held := len(n.Held()); held != 0 || c.runningUnits() != 9 {
+			t.Errorf("drained box owns %d units, want 0; %d of 9 units are running", held, c.runningUnits())
 		}
 		n.SetDrained(false)
-		c.watch(time.Minute)
-		if got := c.counts(); !slices.Equal(got, []int{3, 3, 3}) {
-			t.Errorf("after the drain units by box = %v", got)
+		c.countMoves(time.Minute)
+		if got := c.unitCounts(); !slices.Equal(got, []int{3, 3, 3}) {
+			t.Errorf("units by box after the drain = %v, want [3 3 3]", got)
 		}
 	})
 }
 
-// A slow table makes boxes patient: nobody is declared dead for it.
-func TestSlowTableCostsNoOwnership(t *testing.T) {
+// Slow heartbeat writes must not make boxes declare each other dead.
+func TestSlowTableCausesNoFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 4, 8)
 		defer c.stop()
-		c.watch(30 * time.Second)
+		c.countMoves(30 * time.Second)
 		held := map[string]Hold{}
-		for _, n := range c.nodes {
+		for _, n := range c.boxes {
 			for u, h := range n.Held() {
 				held[u] = h
 			}
 		}
 		c.table.Faults.Always(standin.Fault{Delay: 2 * time.Second})
-		c.watch(5 * time.Minute)
-		for _, n := range c.nodes {
+		c.countMoves(5 * time.Minute)
+		for _, n := range c.boxes {
 			for u, h := range n.Held() {
 				if h.Epoch != held[u].Epoch {
-					t.Errorf("%s changed hands: epoch %d, then %d", u, held[u].Epoch, h.Epoch)
+					t.Errorf("owner of %s changed: epoch %d, then %d", u, held[u].Epoch, h.Epoch)
 				}
 			}
 		}
--- a/ownership/spread.go
+++ b/ownership/spread.go
@@ -14,68 +14,68 @@
 )
 
 const (
-	// joinTicks is for how many reads a new box must have been seen before
-	// units move to it, and before it takes any itself.
-	joinTicks = 3
-	// turnTicks is for how many reads a free unit is left to each box that
-	// comes before this one in the unit's order.
-	turnTicks = 2
+	// joinReads is the number of reads that must contain a new box before units
+	// move to it and before it takes any itself.
+	joinReads = 3
+	// readsPerTurn is the number of reads for which a free unit is left to each box
+	// that ranks before this one for the unit.
+	readsPerTurn = 2
 )
 
-// settle compares what a view shows with what this box should own, and takes
-// or gives up units. It reports whether the view proved out of date.
-func (k *Keeper) settle(ctx context.Context, v control.View) (stale bool) {
-	k.dropLost(v)
+// reconcile compares the units in a view with those that this box should own, and
+// takes or releases units. It reports whether the rows had changed since v was read.
+func (k *Keeper) reconcile(ctx context.Context, v control.View) (stale bool) {
+	k.stopLostUnits(v)
 	k.adopt(v)
 	k.mu.Lock()
 	p := k.plan(v)
 	k.mu.Unlock()
-	if p.give != "" {
-		k.release(ctx, p.give)
+	if p.release != "" {
+		k.release(ctx, p.release)
 	}
 	k.reap(ctx, v)
-	return len(p.take) > 0 && k.take(ctx, v, p.take)
+	return len(p.take) > 0 && k.takeUnits(ctx, v, p.take)
 }
 
-// dropLost ends units that the view shows under another owner.
-func (k *Keeper) dropLost(v control.View) {
+// stopLostUnits stops the units that have another owner in v.
+func (k *Keeper) stopLostUnits(v control.View) {
 	for unit, h := range k.Held() {
 		row := v.Units[unit]
 		if row.Version > h.Version && row.Row.Owner != k.self.Incarnation {
 			k.log.Warn().Str("unit", unit).Str("owner", string(row.Row.Owner)).Msg("Unit was taken over.")
-			k.drop(unit)
+			k.stopUnit(unit)
 		}
 	}
 }
 
-// plan is what one read of the rows makes a box do.
+// plan holds the ownership changes that a box makes after one read of the rows.
 type plan struct {
-	take []string
-	give string
+	take    []string
+	release string
 }
 
-// plan works out what to do. The caller holds k.mu.
+// plan returns the changes that this box should make. The caller holds k.mu.
 func (k *Keeper) plan(v control.View) plan {
-	alive := k.alive(v)
+	eligible := k.eligibleBoxes(v)
 	if k.self.Leaving && !k.leaving {
-		return plan{give: k.anyHeld()}
+		return plan{release: k.anyHeld()}
 	}
-	// A box that has just begun waits until it would see others that began with
-	// it, or it would take everything and give most of it back.
-	settled := k.seen[k.self.Incarnation].ticks >= joinTicks
-	if k.leaving || !settled || !slices.Contains(alive, k.self.Incarnation) {
+	// A box that has just started waits until it would see others that started at
+	// the same time. Otherwise it would take all units and release most of them.
+	joined := k.observations[k.self.Incarnation].reads >= joinReads
+	if k.leaving || !joined || !slices.Contains(eligible, k.self.Incarnation) {
 		return plan{}
 	}
-	count, free := k.count(v, alive)
+	owned, free := k.countUnits(v, eligible)
 	var p plan
 	for _, unit := range free {
-		if k.myTurn(unit, k.able(alive, count)) {
+		if k.shouldTake(unit, k.preferredBoxes(eligible, owned)) {
 			p.take = append(p.take, unit)
-			count[k.self.Incarnation]++
+			owned[k.self.Incarnation]++
 		}
 	}
 	if len(free) == 0 {
-		p.give = k.surplus(alive, count)
+		p.release = k.excessUnit(eligible, owned)
 	}
 	return p
 }
@@ -87,155 +87,158 @@
 	return ""
 }
 
-// alive returns the boxes that may own units, this one among them.
-func (k *Keeper) alive(v control.View) []control.Incarnation {
-	var alive []control.Incarnation
+// eligibleBoxes returns, in sorted order, the boxes to which units may be assigned.
+// joinReads doesn't apply to this box itself.
+func (k *Keeper) eligibleBoxes(v control.View) []control.Incarnation {
+	var eligible []control.Incarnation
 	for i, b := range v.Boxes {
-		settled := k.seen[i].ticks >= joinTicks || i == k.self.Incarnation
-		if !b.Row.Leaving && settled && !k.lapsed(i) {
-			alive = append(alive, i)
+		joined := k.observations[i].reads >= joinReads || i == k.self.Incarnation
+		if !b.Row.Leaving && joined && !k.heartbeatExpired(i) {
+			eligible = append(eligible, i)
 		}
 	}
-	slices.Sort(alive)
-	return alive
+	slices.Sort(eligible)
+	return eligible
 }
 
-// count returns how many units each box owns, and which units are free.
-func (k *Keeper) count(v control.View, alive []control.Incarnation) (map[control.Incarnation]int, []string) {
-	count := map[control.Incarnation]int{}
+// countUnits returns the number of units that each box owns, and the units that are
+// free to be taken.
+func (k *Keeper) countUnits(v control.View, eligible []control.Incarnation) (map[control.Incarnation]int, []string) {
+	owned := map[control.Incarnation]int{}
 	var free []string
 	for _, unit := range k.units {
 		owner := v.Units[unit].Row.Owner
 		switch {
 		case owner == k.self.Incarnation:
-			count[owner]++
-		case owner != "" && !k.gone(v, owner):
-			count[owner]++
-			delete(k.deferral, unit)
+			owned[owner]++
+		case owner != "" && !k.ownerExpired(v, owner):
+			owned[owner]++
+			delete(k.deferredReads, unit)
 		default:
 			free = append(free, unit)
 		}
 	}
-	return count, free
+	return owned, free
 }
 
-// gone reports whether an owner's units may be taken over.
-func (k *Keeper) gone(v control.View, owner control.Incarnation) bool {
-	_, there := v.Boxes[owner]
-	return !there || k.lapsed(owner)
+// ownerExpired reports whether the units of an owner may be taken over.
+func (k *Keeper) ownerExpired(v control.View, owner control.Incarnation) bool {
+	_, exists := v.Boxes[owner]
+	return !exists || k.heartbeatExpired(owner)
 }
 
-// able returns the boxes to which the next free unit should go: those that own
-// less than an equal share rounded down, or else less than one rounded up.
-func (k *Keeper) able(alive []control.Incarnation, count map[control.Incarnation]int) []control.Incarnation {
-	low := len(k.units) / len(alive)
-	high := (len(k.units) + len(alive) - 1) / len(alive)
+// preferredBoxes returns the boxes to which the next free unit should go: those that
+// own less than an equal share rounded down or, if there are none, less than an
+// equal share rounded up.
+func (k *Keeper) preferredBoxes(eligible []control.Incarnation, owned map[control.Incarnation]int) []control.Incarnation {
+	low := len(k.units) / len(eligible)
+	high := (len(k.units) + len(eligible) - 1) / len(eligible)
 	for _, bound := range []int{low, high} {
-		var able []control.Incarnation
-		for _, i := range alive {
-			if count[i] < bound {
-				able = append(able, i)
+		var preferred []control.Incarnation
+		for _, i := range eligible {
+			if owned[i] < bound {
+				preferred = append(preferred, i)
 			}
 		}
-		if len(able) > 0 {
-			return able
+		if len(preferred) > 0 {
+			return preferred
 		}
 	}
 	return nil
 }
 
-// myTurn reports whether this box should take a free unit now: it comes first
-// in the unit's order among the boxes that are able, or those before it have let
-// their turns go by.
-func (k *Keeper) myTurn(unit string, able []control.Incarnation) bool {
-	place := slices.Index(order(unit, able), k.self.Incarnation)
-	if place < 0 {
+// shouldTake reports whether this box should take a free unit now: it ranks first for
+// the unit among the preferred boxes, or those that rank before it haven't taken the
+// unit within their turns.
+func (k *Keeper) shouldTake(unit string, preferred []control.Incarnation) bool {
+	rank := slices.Index(rankBoxes(unit, preferred), k.self.Incarnation)
+	if rank < 0 {
 		return false
 	}
-	k.deferral[unit]++
-	return k.deferral[unit] > place*turnTicks
+	k.deferredReads[unit]++
+	return k.deferredReads[unit] > rank*readsPerTurn
 }
 
-// surplus returns a unit that this box should give up so that the boxes own
-// equally many, or "". Only the box that owns the most gives, one at a time, so
-// that the spread settles.
-func (k *Keeper) surplus(alive []control.Incarnation, count map[control.Incarnation]int) string {
-	mine := count[k.self.Incarnation]
+// excessUnit returns a unit that this box should release to balance the number of
+// units per box, or "". Only the box that owns the most releases units, one at a
+// time, so that the distribution converges.
+func (k *Keeper) excessUnit(eligible []control.Incarnation, owned map[control.Incarnation]int) string {
+	mine := owned[k.self.Incarnation]
 	least := mine
-	for _, i := range alive {
-		least = min(least, count[i])
-		if count[i] > mine || count[i] == mine && i < k.self.Incarnation {
+	for _, i := range eligible {
+		least = min(least, owned[i])
+		if owned[i] > mine || owned[i] == mine && i < k.self.Incarnation {
 			return ""
 		}
 	}
 	if mine-least < 2 {
 		return ""
 	}
-	return k.lastChoice(alive)
+	return k.leastPreferredUnit(eligible)
 }
 
-// lastChoice returns the held unit in whose order this box comes last.
-func (k *Keeper) lastChoice(alive []control.Incarnation) string {
-	worst, unit := -1, ""
+// leastPreferredUnit returns the owned unit for which this box ranks lowest.
+func (k *Keeper) leastPreferredUnit(eligible []control.Incarnation) string {
+	lowestRank, unit := -1, ""
 	for _, u := range k.units {
 		if _, held := k.held[u]; !held {
 			continue
 		}
-		if place := slices.Index(order(u, alive), k.self.Incarnation); place > worst {
-			worst, unit = place, u
+		if rank := slices.Index(rankBoxes(u, eligible), k.self.Incarnation); rank > lowestRank {
+			lowestRank, unit = rank, u
 		}
 	}
 	return unit
 }
 
-// order returns boxes in a unit's order, by rendezvous hashing. It goes by the
-// box's name, so that a restarted box comes back to its place.
-func order(unit string, boxes []control.Incarnation) []control.Incarnation {
+// rankBoxes returns boxes ordered by preference for a unit, by rendezvous hashing. It
+// hashes the name of the box, so that a box keeps its rank after a restart.
+func rankBoxes(unit string, boxes []control.Incarnation) []control.Incarnation {
 	return rendezvous.Order(unit, boxes, control.Incarnation.Box)
 }
 
-// take makes this box the owner of units, in one transaction that requires
-// everything on which the decision rests. It reports whether the view is out of
-// date.
-func (k *Keeper) take(ctx context.Context, v control.View, units []string) (stale bool) {
+// takeUnits makes this box the owner of units in one transaction. The transaction
+// requires the rows of the units, and the heartbeat rows of their previous owners,
+// to be unchanged since v was read. It reports whether one of them had changed.
+func (k *Keeper) takeUnits(ctx context.Context, v control.View, units []string) (stale bool) {
 	now := time.Now()
 	t := provider.Txn{ID: xid.New().String()}
 	rows := map[string]control.UnitRow{}
 	dead := map[control.Incarnation]bool{}
 	for _, unit := range units {
-		was := v.Units[unit]
-		row := control.UnitRow{Owner: k.self.Incarnation, Epoch: was.Row.Epoch + 1, Sure: was.Row.Sure}
-		if was.Row.Owner != "" {
-			dead[was.Row.Owner] = true
+		previous := v.Units[unit]
+		row := control.UnitRow{Owner: k.self.Incarnation, Epoch: previous.Row.Epoch + 1, Sure: previous.Row.Sure}
+		if previous.Row.Owner != "" {
+			dead[previous.Row.Owner] = true
 			row.Sure = now
 		}
 		rows[unit] = row
-		t = t.Put(control.UnitKey(unit), was.Version, control.Encode(row))
+		t = t.Put(control.UnitKey(unit), previous.Version, control.Encode(row))
 	}
 	for i := range dead {
 		t = t.Remove(control.BoxRow{Incarnation: i}.Key(), v.Boxes[i].Version)
 	}
 	version, err := k.sender.Do(ctx, t)
 	if err != nil {
-		return k.report(units, err)
+		return k.logFailure(units, err)
 	}
 	for unit, row := range rows {
-		k.log.Info().Str("unit", unit).Uint64("epoch", row.Epoch).Str("from", string(v.Units[unit].Row.Owner)).Msg("Took a unit over.")
-		k.own(Hold{Unit: unit, Epoch: row.Epoch, Version: version, Before: row.Sure})
+		k.log.Info().Str("unit", unit).Uint64("epoch", row.Epoch).Str("from", string(v.Units[unit].Row.Owner)).Msg("Took ownership of a unit.")
+		k.startUnit(Hold{Unit: unit, Epoch: row.Epoch, Version: version, Before: row.Sure})
 	}
 	return false
 }
 
-func (k *Keeper) own(h Hold) {
+func (k *Keeper) startUnit(h Hold) {
 	k.mu.Lock()
 	k.held[h.Unit] = h
-	delete(k.deferral, h.Unit)
+	delete(k.deferredReads, h.Unit)
 	k.mu.Unlock()
 	k.owner.Own(h)
 }
 
-// adopt begins to run units that the view shows as this box's own, taken by a
-// transaction whose answer never came.
+// adopt starts units that this box owns in v but doesn't run, because the transaction
+// that took them was applied without its result reaching this box.
 func (k *Keeper) adopt(v control.View) {
 	held := k.Held()
 	for unit, u := range v.Units {
@@ -243,7 +246,7 @@
 		if known || u.Row.Owner != k.self.Incarnation || k.isLeaving() {
 			continue
 		}
-		k.own(Hold{Unit: unit, Epoch: u.Row.Epoch, Version: u.Version, Before: u.Row.Sure})
+		k.startUnit(Hold{Unit: unit, Epoch: u.Row.Epoch, Version: u.Version, Before: u.Row.Sure})
 	}
 }
 
@@ -253,54 +256,54 @@
 	return k.leaving
 }
 
-// reapAfter is for how many lapses a dead box's row is left to those who take
-// over its units, before it is removed as owning none.
-const reapAfter = 10
+// reapTimeouts is the multiple of Settings.Lapse after which the unchanged row of a
+// box is removed. Until then it is left to the boxes that take over its units.
+const reapTimeouts = 10
 
-// reap removes the heartbeats of boxes that died owning nothing. The first box
-// alive does it for all.
+// reap removes the heartbeat rows of failed boxes that owned no units. Only the first
+// eligible box does so.
 func (k *Keeper) reap(ctx context.Context, v control.View) {
 	k.mu.Lock()
-	alive := k.alive(v)
+	eligible := k.eligibleBoxes(v)
 	t := provider.Txn{ID: xid.New().String()}
 	for i, b := range v.Boxes {
-		if time.Since(k.seen[i].since) > reapAfter*k.set.Lapse {
+		if time.Since(k.observations[i].unchangedSince) > reapTimeouts*k.settings.Lapse {
 			t = t.Remove(b.Row.Key(), b.Version)
 		}
 	}
 	k.mu.Unlock()
-	if len(t.Writes) == 0 || len(alive) == 0 || alive[0] != k.self.Incarnation {
+	if len(t.Writes) == 0 || len(eligible) == 0 || eligible[0] != k.self.Incarnation {
 		return
 	}
 	if _, err := k.sender.Do(ctx, t); err != nil {
-		k.report(nil, err)
+		k.logFailure(nil, err)
 	}
 }
 
-// report logs why units did not change hands, and whether another box was
-// faster.
-func (k *Keeper) report(units []string, err error) (conflicted bool) {
+// logFailure logs why the ownership of units was not changed. It reports whether the
+// cause was a conflict with another box.
+func (k *Keeper) logFailure(units []string, err error) (conflicted bool) {
 	var conflict *provider.ConflictError
 	if errors.As(err, &conflict) {
-		k.log.Debug().Strs("units", units).Msg("Another box was faster.")
+		k.log.Debug().Strs("units", units).Msg("Ownership was not changed: another box changed the rows first.")
 		return true
 	}
-	k.log.Warn().Err(err).Strs("units", units).Msg("Ownership cannot be changed.")
+	k.log.Warn().Err(err).Strs("units", units).Msg("Failed to change ownership.")
 	return false
 }
 
-// release ends a unit here and says so in the table, so that a successor need
-// not wait.
+// release stops a unit and clears its owner in the table, so that another box can
+// take it without waiting for this box's heartbeat to expire.
 func (k *Keeper) release(ctx context.Context, unit string) {
 	h, held := k.Held()[unit]
 	if !held {
 		return
 	}
-	sure := k.drop(unit)
-	row := control.UnitRow{Epoch: h.Epoch, Sure: sure}
+	validUntil := k.stopUnit(unit)
+	row := control.UnitRow{Epoch: h.Epoch, Sure: validUntil}
 	t := provider.Txn{ID: xid.New().String()}.Put(control.UnitKey(unit), h.Version, control.Encode(row))
 	if _, err := k.sender.Do(ctx, t); err != nil {
-		k.report([]string{unit}, err)
+		k.logFailure([]string{unit}, err)
 		return
 	}
 	k.log.Info().Str("unit", unit).Uint64("epoch", h.Epoch).Msg("Released a unit.")
--- a/ownership/suspend_test.go
+++ b/ownership/suspend_test.go
@@ -10,9 +10,9 @@
 	"chutereach/standin"
 )
 
-// A box whose machine was suspended is sure of its units no longer than one whose was not:
-// other boxes count from its last heartbeat.
-func TestASuspendedBoxIsNotSure(t *testing.T) {
+// Time during which the machine is suspended must count against the validity of
+// ownership, as other boxes count from the last heartbeat.
+func TestSuspensionCountsAgainstOwnership(t *testing.T) {
 	for _, suspended := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
 		t.Run(suspended.String(), func(t *testing.T) {
 			machine := clocktest.New(t)
@@ -20,12 +20,12 @@
 				c := newCell(t, 1, 2)
 				defer c.stop()
 				time.Sleep(5 * time.Second)
-				n := c.nodes[0]
-				n.cut.faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
+				n := c.boxes[0]
+				n.table.faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
 				before := n.Sure()
 				machine.Suspend(suspended)
 				if got := before.Sub(n.Sure()); got != suspended {
-					t.Errorf("after %v it is sure for %v less", suspended, got)
+					t.Errorf("ownership validity after a suspension of %v is shorter by %v, want %v", suspended, got, suspended)
 				}
 			})
 		})
