--- a/member/member.go
+++ b/member/member.go
@@ -1,9 +1,8 @@
-// Package member knows which boxes answer, and what they say of themselves.
+// Package member tracks which peers are alive and the state that they report.
 //
-// The table says which boxes there are; each box asks each of the others for
-// its state, in one goroutine a peer. Membership by the table decides ownership;
-// membership by answers decides only where requests go, so it may be wrong for
-// a moment without harm.
+// The table lists the boxes. Each box polls the state of every other box, in one
+// goroutine per peer. Ownership depends on the table alone. The results of polling
+// determine only where requests are routed, so they may be stale for a short time.
 package member
 
 import (
@@ -22,15 +21,15 @@
 	"chutereach/wait"
 )
 
-// Load is what a box has to give for a service.
+// Load is the capacity and the load of a box for one service.
 type Load struct {
-	Slots  int `cbor:"1,keyasint"` // of the upstreams whose home it is
-	Busy   int `cbor:"2,keyasint"` // of them in use
-	Queued int `cbor:"3,keyasint"` // requests that wait at it
-	Urgent int `cbor:"4,keyasint"` // of them, urgent ones
+	Slots  int `cbor:"1,keyasint"` // slots of the upstreams whose home is this box
+	Busy   int `cbor:"2,keyasint"` // slots in use
+	Queued int `cbor:"3,keyasint"` // queued requests
+	Urgent int `cbor:"4,keyasint"` // queued requests that are urgent
 }
 
-// Version orders what is said of a unit.
+// Version orders the endpoint lists of a unit.
 type Version struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	Seq   uint64 `cbor:"2,keyasint"`
@@ -41,28 +40,28 @@
 	return v.Epoch > o.Epoch || v.Epoch == o.Epoch && v.Seq > o.Seq
 }
 
-// Endpoints is where a unit's replicas take requests.
+// Endpoints lists the endpoints at which the replicas of a unit accept requests.
 type Endpoints struct {
 	Unit    string          `cbor:"1,keyasint"`
 	Version Version         `cbor:"2,keyasint"`
 	List    []hall.Endpoint `cbor:"3,keyasint"`
 }
 
-// Ask is what a box sends when it asks a peer for its state.
-type Ask struct {
+// StateRequest is the request for the state of a peer.
+type StateRequest struct {
 	From  control.Incarnation `cbor:"1,keyasint"`
 	Stamp timeline.Stamp      `cbor:"2,keyasint"`
-	// Have is the versions of endpoints that the asker knows; the answer leaves
-	// out what is no newer.
-	Have map[string]Version `cbor:"3,keyasint"`
+	// KnownVersions holds, by unit, the versions of the endpoints that the sender
+	// has. The response contains only newer ones.
+	KnownVersions map[string]Version `cbor:"3,keyasint"`
 }
 
-// State is what a box says of itself.
+// State is the state that a box reports to its peers.
 type State struct {
 	Incarnation control.Incarnation `cbor:"1,keyasint"`
 	Stamp       timeline.Stamp      `cbor:"2,keyasint"`
 	Revision    uint64              `cbor:"3,keyasint"`
-	InForce     time.Time           `cbor:"4,keyasint"` // since when
+	InForce     time.Time           `cbor:"4,keyasint"` // when Revision took effect
 	Leaving     bool                `cbor:"5,keyasint,omitempty"`
 	Ready       bool                `cbor:"6,keyasint,omitempty"`
 	Units       []hall.Summary      `cbor:"7,keyasint,omitempty"`
@@ -70,152 +69,153 @@
 	Endpoints   []Endpoints         `cbor:"9,keyasint,omitempty"`
 }
 
-// Peer is another box and its newest state.
+// Peer is another box and the last state received from it.
 type Peer struct {
 	Row   control.BoxRow
 	State State
-	Heard time.Time // zero if never
+	Heard time.Time // time of the last response, zero if there was none
 }
 
-// Alive reports whether the peer answered of late.
-func (p Peer) Alive() bool { return !p.Heard.IsZero() && time.Since(p.Heard) < silentAfter }
+// Alive reports whether the peer has responded within peerTimeout.
+func (p Peer) Alive() bool { return !p.Heard.IsZero() && time.Since(p.Heard) < peerTimeout }
 
 const (
-	// interval is between two questions to a peer.
-	interval = time.Second
-	// askQuiet is for how long nothing may come of one answer.
-	askQuiet = time.Second
-	// silentAfter is when a peer that does not answer counts as gone.
-	silentAfter = 3 * time.Second
+	// pollInterval is the pause between two state requests to a peer.
+	pollInterval = time.Second
+	// stallTimeout is the longest time without progress in a state exchange. It also
+	// limits the leaving notices as a whole.
+	stallTimeout = time.Second
+	// peerTimeout is the time without a response after which a peer is not alive.
+	peerTimeout = 3 * time.Second
 	statePath   = "/peer/state"
 	leavingPath = "/peer/leaving"
 )
 
-// Members is the boxes that this one knows.
+// Members holds the peers of a box and the endpoints that they report.
 type Members struct {
-	self   control.BoxRow
-	client *peer.Client
-	clock  *timeline.Clock
-	state  func() State // this box's own, endpoints of every unit it knows included
-
-	mu        sync.Mutex
-	peers     map[control.Incarnation]*member
-	endpoints map[string]Endpoints // by unit, also of units whose owner is gone
-	changed   []func()
-	viewed    bool // the table's rows have been read
-	settled   bool // every peer has answered, or has had the time to
+	self       control.BoxRow
+	client     *peer.Client
+	clock      *timeline.Clock
+	localState func() State // returns this box's state without Endpoints, which Answer adds
+
+	mu              sync.Mutex
+	peers           map[control.Incarnation]*member
+	endpoints       map[string]Endpoints // by unit, including units whose owner has failed
+	changeListeners []func()
+	viewReceived    bool // SetView was called
+	synced          bool // every peer has responded or exceeded peerTimeout
 }
 
 type member struct {
 	Peer
-	since  time.Time // when it was first seen in the table
-	left   bool      // it said that it leaves; an answer under way may not know yet
-	cancel context.CancelFunc
+	firstSeen        time.Time // when the peer was first seen in the table
+	announcedLeaving bool      // the peer sent a leaving notice; a response in flight may not reflect it yet
+	cancel           context.CancelFunc
 }
 
-// New returns the Members that self knows: none yet.
+// New returns a Members of self without peers.
 func New(self control.BoxRow, client *peer.Client, clock *timeline.Clock, state func() State) *Members {
 	return &Members{
-		self: self, client: client, clock: clock, state: state,
+		self: self, client: client, clock: clock, localState: state,
 		peers: map[control.Incarnation]*member{}, endpoints: map[string]Endpoints{},
 	}
 }
 
-// OnChange calls f when the alive peers or the endpoints change. It must be
-// called before the first SetView.
-func (m *Members) OnChange(f func()) { m.changed = append(m.changed, f) }
+// OnChange registers f to be called when the set of alive peers or the endpoints
+// change. It must be called before the first SetView.
+func (m *Members) OnChange(f func()) { m.changeListeners = append(m.changeListeners, f) }
 
-// SetView takes in which boxes the table has. A goroutine is begun for each new
-// one, and ended for each that is gone.
+// SetView sets the boxes that the table lists. It starts polling each new one, until
+// ctx ends or the box is removed.
 func (m *Members) SetView(ctx context.Context, v control.View) {
 	m.mu.Lock()
-	m.viewed = true
-	m.followAll(ctx, v)
-	settled := m.settle()
+	m.viewReceived = true
+	m.reconcilePeers(ctx, v)
+	justSynced := m.updateSynced()
 	m.mu.Unlock()
-	if settled {
+	if justSynced {
 		m.notify()
 	}
 }
 
-// settle notes when a box has come to know its peers, and reports whether that
-// was just now. The caller holds m.mu.
-func (m *Members) settle() bool {
-	if m.settled || !m.viewed {
+// updateSynced sets synced once its condition holds, and reports whether this call
+// set it. The caller holds m.mu.
+func (m *Members) updateSynced() bool {
+	if m.synced || !m.viewReceived {
 		return false
 	}
 	for _, p := range m.peers {
-		if p.Heard.IsZero() && time.Since(p.since) < silentAfter {
+		if p.Heard.IsZero() && time.Since(p.firstSeen) < peerTimeout {
 			return false
 		}
 	}
-	m.settled = true
+	m.synced = true
 	return true
 }
 
-// Settled reports whether the box has come to know its peers. Until then it
-// would take every upstream for its own.
+// Settled reports whether every peer listed in the table has responded or exceeded
+// peerTimeout. Before that, the box would consider itself the home of every upstream.
 func (m *Members) Settled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.settled
+	return m.synced
 }
 
-func (m *Members) followAll(ctx context.Context, v control.View) {
+func (m *Members) reconcilePeers(ctx context.Context, v control.View) {
 	for i, b := range v.Boxes {
 		if i == m.self.Incarnation || m.peers[i] != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(ctx)
-		p := &member{Peer: Peer{Row: b.Row}, since: time.Now(), cancel: cancel}
+		p := &member{Peer: Peer{Row: b.Row}, firstSeen: time.Now(), cancel: cancel}
 		m.peers[i] = p
-		go m.follow(ctx, p)
+		go m.pollPeer(ctx, p)
 	}
 	for i, p := range m.peers {
-		if _, there := v.Boxes[i]; !there {
+		if _, exists := v.Boxes[i]; !exists {
 			p.cancel()
 			delete(m.peers, i)
 		}
 	}
 }
 
-// Introduce takes in a peer as if it had answered at a time, without asking it.
-// It serves routers that are tried out without a network.
+// Introduce adds a peer as if it had responded at the time heard, without polling
+// it. It is for tests of routers without a network.
 func (m *Members) Introduce(row control.BoxRow, heard time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := &member{Peer: Peer{Row: row, Heard: heard}, cancel: func() {}}
 	p.State.Loads = map[string]Load{}
 	m.peers[row.Incarnation] = p
-	m.settled = true
+	m.synced = true
 }
 
-// follow asks a peer for its state until ctx ends.
-func (m *Members) follow(ctx context.Context, p *member) {
+// pollPeer requests the state of a peer repeatedly until ctx ends.
+func (m *Members) pollPeer(ctx context.Context, p *member) {
 	for ctx.Err() == nil {
-		m.ask(ctx, p)
-		wait.For(ctx, interval)
+		m.fetchState(ctx, p)
+		wait.For(ctx, pollInterval)
 	}
 	m.notify()
 }
 
-func (m *Members) ask(ctx context.Context, p *member) {
-	ctx, cancel := transfer.WithStallLimit(ctx, askQuiet, nil) // an answer may hold every endpoint
+func (m *Members) fetchState(ctx context.Context, p *member) {
+	ctx, cancel := transfer.WithStallLimit(ctx, stallTimeout, nil) // a timeout for the whole exchange would cut off large responses
 	defer cancel()
-	a := Ask{From: m.self.Incarnation, Stamp: m.clock.Now(), Have: m.have()}
+	a := StateRequest{From: m.self.Incarnation, Stamp: m.clock.Now(), KnownVersions: m.knownVersions()}
 	s, err := peer.Call[State](ctx, m.client, p.Row.Peer, statePath, a)
 	m.mu.Lock()
-	was, leaving := p.Alive(), p.State.Leaving
-	// An address may have passed to another incarnation: it does not speak for
-	// this one.
+	wasAlive, wasLeaving := p.Alive(), p.State.Leaving
+	// The address may now belong to another incarnation, whose state is not that of
+	// this peer.
 	if err == nil && s.Incarnation == p.Row.Incarnation {
 		m.clock.Seen(s.Stamp)
-		s.Leaving = s.Leaving || p.left
+		s.Leaving = s.Leaving || p.announcedLeaving
 		p.State, p.Heard = s, time.Now()
 	}
-	changed := p.Alive() != was || p.State.Leaving != leaving
+	changed := p.Alive() != wasAlive || p.State.Leaving != wasLeaving
 	changed = m.merge(s.Endpoints) || changed
-	changed = m.settle() || changed
+	changed = m.updateSynced() || changed
 	m.mu.Unlock()
 	if changed {
 		m.notify()
@@ -223,24 +223,25 @@
 }
 
 func (m *Members) notify() {
-	for _, f := range m.changed {
+	for _, f := range m.changeListeners {
 		f()
 	}
 }
 
-func (m *Members) have() map[string]Version {
+func (m *Members) knownVersions() map[string]Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	have := make(map[string]Version, len(m.endpoints))
+	versions := make(map[string]Version, len(m.endpoints))
 	for unit, e := range m.endpoints {
-		have[unit] = e.Version
+		versions[unit] = e.Version
 	}
-	return have
+	return versions
 }
 
-// merge takes in endpoints that are newer. The caller holds m.mu.
-func (m *Members) merge(news []Endpoints) (changed bool) {
-	for _, e := range news {
+// merge stores the updates that are newer than the known endpoints. The caller holds
+// m.mu.
+func (m *Members) merge(updates []Endpoints) (changed bool) {
+	for _, e := range updates {
 		if e.Version.After(m.endpoints[e.Unit].Version) {
 			m.endpoints[e.Unit] = e
 			changed = true
@@ -249,7 +250,7 @@
 	return changed
 }
 
-// SetOwn takes in the endpoints of a unit that this box owns.
+// SetOwn sets the endpoints of a unit that this box owns.
 func (m *Members) SetOwn(unit string, epoch uint64, list []hall.Endpoint) {
 	m.mu.Lock()
 	old := m.endpoints[unit]
@@ -266,62 +267,63 @@
 	m.notify()
 }
 
-// Answer is what this box tells a peer that asks.
-func (m *Members) Answer(_ context.Context, a Ask) (State, error) {
+// Answer handles a peer's request for the state of this box.
+func (m *Members) Answer(_ context.Context, a StateRequest) (State, error) {
 	m.clock.Seen(a.Stamp)
-	s := m.state()
+	s := m.localState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for unit, e := range m.endpoints {
-		if e.Version.After(a.Have[unit]) {
+		if e.Version.After(a.KnownVersions[unit]) {
 			s.Endpoints = append(s.Endpoints, e)
 		}
 	}
 	return s, nil
 }
 
-// SayLeaving tells every peer that this box leaves, so that none sends it another
-// request while it waits for the last ones.
+// SayLeaving notifies every peer that this box is leaving, so that they send it no
+// further requests while the remaining ones complete.
 func (m *Members) SayLeaving(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, askQuiet)
+	ctx, cancel := context.WithTimeout(ctx, stallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, p := range m.Peers() {
 		wg.Go(func() {
-			// A peer that does not hear it learns it from the next answer.
+			// A peer that misses the notice learns of it from the next state response.
 			peer.Call[bool](ctx, m.client, p.Row.Peer, leavingPath, m.self.Incarnation)
 		})
 	}
 	wg.Wait()
 }
 
-// Left takes in that a peer leaves.
+// Left handles a peer's notice that it is leaving. It reports whether the peer is
+// known.
 func (m *Members) Left(_ context.Context, i control.Incarnation) (bool, error) {
 	m.mu.Lock()
 	p := m.peers[i]
 	if p != nil {
-		p.left, p.State.Leaving = true, true
+		p.announcedLeaving, p.State.Leaving = true, true
 	}
 	m.mu.Unlock()
 	m.notify()
 	return p != nil, nil
 }
 
-// LeavingPath is where Left must be served.
+// LeavingPath returns the path at which Left must be served.
 func (m *Members) LeavingPath() string { return leavingPath }
 
-// Path is where Answer must be served.
+// Path returns the path at which Answer must be served.
 func (m *Members) Path() string { return statePath }
 
-// Peers returns the other boxes, by name.
+// Peers returns the other boxes, sorted by incarnation.
 func (m *Members) Peers() []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := make([]Peer, 0, len(m.peers))
 	for _, p := range m.peers {
-		shown := p.Peer
-		shown.State.Loads = maps.Clone(p.State.Loads) // the peer's own goes on changing
-		all = append(all, shown)
+		snapshot := p.Peer
+		snapshot.State.Loads = maps.Clone(p.State.Loads) // AddQueued and SetLoad modify the original
+		all = append(all, snapshot)
 	}
 	slices.SortFunc(all, func(a, b Peer) int {
 		return strings.Compare(string(a.Row.Incarnation), string(b.Row.Incarnation))
@@ -329,14 +331,14 @@
 	return all
 }
 
-// PeerLoad is a peer and what it has in hand for one service.
+// PeerLoad is a peer and its load for one service.
 type PeerLoad struct {
 	Row  control.BoxRow
 	Load Load
 }
 
-// LoadsOf returns the peers that take requests, with what each has in hand for a
-// service as far as it has said so.
+// LoadsOf returns the peers that accept requests, each with its last known load for a
+// service.
 func (m *Members) LoadsOf(service string) []PeerLoad {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -349,9 +351,9 @@
 	return all
 }
 
-// AddQueued counts a request that is being sent to a peer into the peer's load
-// until the peer says better, so that a burst is not sent to one box that was
-// idle a moment ago.
+// AddQueued adds a request that is being sent to a peer to the peer's known load,
+// until the peer reports its load again. This prevents a burst of requests from all
+// going to a peer that was idle at its last report.
 func (m *Members) AddQueued(i control.Incarnation, service string, urgent bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -365,7 +367,7 @@
 	}
 }
 
-// SetLoad takes in a peer's load for a service, which came with an answer.
+// SetLoad sets a peer's load for a service, as reported in a response.
 func (m *Members) SetLoad(i control.Incarnation, service string, l Load) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -15,8 +15,8 @@
 	"chutereach/timeline"
 )
 
-// known returns Members with one peer that has just answered.
-func known(id control.Incarnation) *Members {
+// newWithPeer returns a Members with one peer that has just responded.
+func newWithPeer(id control.Incarnation) *Members {
 	m := New(control.BoxRow{Incarnation: "me.1"}, nil, &timeline.Clock{}, func() State { return State{} })
 	p := &member{Peer: Peer{Row: control.BoxRow{Incarnation: id}, Heard: time.Now()}}
 	p.State.Loads = map[string]Load{"s": {Slots: 8}}
@@ -24,10 +24,10 @@
 	return m
 }
 
-// A router reads loads while answers bring new ones; a map shared between the
-// two once ended the whole process.
-func TestLoadsAreReadWhileTheyChange(t *testing.T) {
-	m := known("other.1")
+// Loads are read while responses update them. Sharing the map between both would
+// crash the process with a concurrent map access.
+func TestConcurrentLoadReadsAndUpdates(t *testing.T) {
+	m := newWithPeer("other.1")
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
@@ -40,7 +40,7 @@
 			for range 500 {
 				m.LoadsOf("s")
 				for _, p := range m.Peers() {
-					p.State.Loads["s"] = Load{} // a copy, ours to change
+					p.State.Loads["s"] = Load{} // must be a copy
 				}
 			}
 		})
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestOnlyNewerEndpointsAreTaken(t *testing.T) {
+func TestMergeIgnoresOlderEndpoints(t *testing.T) {
 	list := []hall.Endpoint{{Service: "s", Attempt: "a"}}
 	for _, c := range []struct {
 		name    string
@@ -65,7 +65,7 @@
 		{"newer epoch, lower seq", Version{3, 1}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := known("other.1")
+			m := newWithPeer("other.1")
 			m.merge([]Endpoints{{"u", Version{2, 2}, nil}})
 			if got := m.merge([]Endpoints{{"u", c.version, list}}); got != c.want {
 				t.Errorf("merge = %v, want %v", got, c.want)
@@ -74,10 +74,10 @@
 	}
 }
 
-// An answer with the endpoints of a large unit takes longer than a box may be silent; it
-// is read to its end all the same.
-func TestALargeAnswerIsTakenIn(t *testing.T) {
-	const endpoints, rate = 10_000, 100_000 // bytes a second: some four seconds
+// A response that takes longer than peerTimeout to transfer must be read in full as
+// long as it makes progress.
+func TestLargeStateResponseIsRead(t *testing.T) {
+	const endpoints, rate = 10_000, 100_000 // bytes/s, about 4 s in total
 	synctest.Test(t, func(t *testing.T) {
 		network := peertest.New()
 		other := control.BoxRow{Incarnation: "other.1", Peer: "other:80"}
@@ -96,13 +96,13 @@
 		m := New(control.BoxRow{Incarnation: "me.1"}, client, &timeline.Clock{}, func() State { return State{} })
 		p := &member{Peer: Peer{Row: other}}
 		m.peers[other.Incarnation] = p
-		begun := time.Now()
-		m.ask(t.Context(), p)
+		start := time.Now()
+		m.fetchState(t.Context(), p)
 		if got := len(m.endpoints["u"].List); got != endpoints || !p.Alive() {
-			t.Errorf("%d endpoints after %v, want %d", got, time.Since(begun), endpoints)
+			t.Errorf("%d endpoints after %v, alive %v; want %d and true", got, time.Since(start), p.Alive(), endpoints)
 		}
-		if took := time.Since(begun); took < silentAfter {
-			t.Errorf("the answer took %v, too short to show anything", took)
+		if took := time.Since(start); took < peerTimeout {
+			t.Errorf("response took %v, want at least the peer timeout of %v", took, peerTimeout)
 		}
 		client.Close()
 		server.Close()
