--- a/api/errors.go
+++ b/api/errors.go
@@ -88,7 +88,7 @@
 	{as[*job.SettleError], http.StatusConflict, CodeConflict},
 	{as[*NotFoundError], http.StatusNotFound, CodeNotFound},
 	{as[*hall.JobNotFoundError], http.StatusNotFound, CodeNotFound},
-	{as[*publish.NoRevisionError], http.StatusNotFound, CodeNotFound},
+	{as[*publish.RevisionNotFoundError], http.StatusNotFound, CodeNotFound},
 	{as[*publish.ConflictError], http.StatusConflict, CodeConflict},
 	{as[*cell.KeyReusedError], http.StatusUnprocessableEntity, CodeKeyReused},
 	{as[*route.KeyReusedError], http.StatusUnprocessableEntity, CodeKeyReused},
--- a/box/box.go
+++ b/box/box.go
@@ -118,7 +118,7 @@
 
 func (b *Box) openKeys() (*tls.Config, error) {
 	if b.set.Keys.Cert == "" {
-		return keys.Ephemeral(b.set.Box.Name)
+		return keys.EphemeralConfig(b.set.Box.Name)
 	}
 	return keys.Config(keys.Files{Authority: b.set.Keys.Authority, Cert: b.set.Keys.Cert, Key: b.set.Keys.Key})
 }
@@ -250,7 +250,7 @@
 	b.leaving.Store(true)
 	if l := b.life.Load(); l != nil {
 		l.router.Refresh()
-		l.members.SayLeaving(context.Background())
+		l.members.AnnounceLeaving(context.Background())
 	}
 	time.Sleep(b.set.Times.Drain)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownLimit)
--- a/box/box_test.go
+++ b/box/box_test.go
@@ -280,7 +280,7 @@
 	c.await("the drained box is not ready", func() bool { return drained.ready() != nil })
 	c.await("it owns and counts nothing", func() bool {
 		l := drained.life.Load()
-		return len(l.keeper.Held()) == 0 && l.router.Loads()["points"].Slots == 0
+		return len(l.keeper.OwnedUnits()) == 0 && l.router.Loads()["points"].Slots == 0
 	})
 	c.await("the other box counts all slots", func() bool {
 		return c.boxes[0].life.Load().router.Loads()["points"].Slots == 24
--- a/box/cell_test.go
+++ b/box/cell_test.go
@@ -53,7 +53,7 @@
 		}
 		c.platform.Fleet.Close()
 	})
-	if err := keys.NewAuthority(c.dir); err != nil {
+	if err := keys.EnsureAuthority(c.dir); err != nil {
 		t.Fatal(err)
 	}
 	for range boxes {
@@ -91,13 +91,13 @@
 func (c *testCell) start() {
 	c.t.Helper()
 	name := fmt.Sprintf("box-%d", len(c.boxes)+1)
-	if err := keys.NewBox(c.dir, name); err != nil {
+	if err := keys.NewBoxCertificate(c.dir, name); err != nil {
 		c.t.Fatal(err)
 	}
 	set, err := settings.Load([]string{
 		"--box.name", name, "--box.hall", "chipre", "--box.http", "127.0.0.1:0", "--box.peer", "127.0.0.1:0",
 		"--platform.url", c.link(), "--operator.token", operatorToken, "--times.drain", "300ms",
-		"--keys.authority", filepath.Join(c.dir, keys.AuthorityCert),
+		"--keys.authority", filepath.Join(c.dir, keys.AuthorityCertFile),
 		"--keys.cert", filepath.Join(c.dir, name+".pem"), "--keys.key", filepath.Join(c.dir, name+"-key.pem"),
 	})
 	if err != nil {
--- a/box/life.go
+++ b/box/life.go
@@ -38,7 +38,7 @@
 type life struct {
 	box       *Box
 	self      control.BoxRow
-	keeper    *ownership.Keeper
+	keeper    *ownership.Manager
 	sender    *commit.Sender
 	inserts   *commit.Group
 	publisher *publish.Publisher
@@ -58,7 +58,7 @@
 	l.inserts = commit.NewGroup(l.sender)
 	l.publisher = publish.New(l.sender, b.events, logs.For(b.log, logs.Publish))
 	l.units = newUnits(l)
-	times := ownership.Settings{Beat: b.set.Times.Beat, Lapse: b.set.Times.Lapse}
+	times := ownership.Settings{HeartbeatInterval: b.set.Times.Beat, HeartbeatTimeout: b.set.Times.Lapse}
 	l.keeper = ownership.New(l.self, times, l.sender, l.units, logs.For(b.log, logs.Ownership))
 	l.members = member.New(l.self, b.client, b.clock, l.state)
 	l.router = route.New(route.Deps{
@@ -77,7 +77,7 @@
 func (l *life) wire() {
 	l.members.OnChange(l.router.Refresh)
 	l.publisher.OnApply(func(r config.Revision) {
-		l.keeper.SetUnits(control.Units(r.Set))
+		l.keeper.SetUnits(control.AllUnitNames(r.Set))
 		_, drained := r.Set.Drains[config.Drain{Target: config.TargetBox, Name: l.box.set.Box.Name}.Key()]
 		l.box.drained.Store(drained)
 		l.keeper.SetDrained(drained)
@@ -115,7 +115,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.keeper.OnView(func(v control.View) {
-		l.publisher.SetView(ctx, v)
+		l.publisher.FollowHead(ctx, v)
 		l.members.SetView(ctx, v)
 	})
 	var wg sync.WaitGroup
@@ -131,10 +131,10 @@
 // ready returns nil once a revision is in force, unless the box has had no word
 // of newer ones for longer than cutoff.
 func (l *life) ready(cutoff time.Duration) error {
-	if l.publisher.Current().Number == 0 && l.keeper.View().Asked.IsZero() {
+	if l.publisher.Current().Number == 0 && l.keeper.View().RequestedAt.IsZero() {
 		return &NotReadyError{"the table has not been read yet"}
 	}
-	if time.Since(l.publisher.Checked()) > cutoff && !l.agrees(cutoff) {
+	if time.Since(l.publisher.HeadCheckedAt()) > cutoff && !l.agrees(cutoff) {
 		return &NotReadyError{"no word of the configuration for too long"}
 	}
 	return nil
@@ -144,7 +144,7 @@
 // revision: with the table down for all, what the boxes agree on stays in force.
 func (l *life) agrees(within time.Duration) bool {
 	for _, p := range l.members.Peers() {
-		if time.Since(p.Heard) < within && p.State.Revision <= l.publisher.Current().Number {
+		if time.Since(p.LastResponse) < within && p.State.Revision <= l.publisher.Current().Number {
 			return true
 		}
 	}
@@ -155,7 +155,7 @@
 func (l *life) state() member.State {
 	s := member.State{
 		Incarnation: l.self.Incarnation, Stamp: l.box.clock.Now(), Revision: l.publisher.Current().Number,
-		InForce: l.publisher.Since(), Leaving: l.box.isLeaving(), Ready: l.box.ready() == nil,
+		InForce: l.publisher.InForceSince(), Leaving: l.box.isLeaving(), Ready: l.box.ready() == nil,
 		Loads: l.router.Loads(),
 	}
 	for _, u := range l.units.All() {
@@ -178,7 +178,7 @@
 		l.cell.CatchUp()
 		for _, u := range l.units.All() {
 			if s := u.Summary(); s.Ready {
-				l.members.SetOwn(s.Unit, s.Epoch, u.Endpoints())
+				l.members.SetLocalEndpoints(s.Unit, s.Epoch, u.Endpoints())
 			}
 		}
 	}
@@ -193,13 +193,13 @@
 
 func newUnits(l *life) *units { return &units{life: l, own: map[string]*hall.Unit{}} }
 
-// Own implements ownership.Owner.
-func (s *units) Own(h ownership.Hold) {
+// StartUnit implements ownership.Owner.
+func (s *units) StartUnit(h ownership.Assignment) {
 	b := s.life.box
 	set := hall.DefaultSettings
 	set.ClockError = b.set.Times.ClockError
 	u := hall.New(h, set, hall.Deps{
-		Workers: b.platform.Workers, Boxes: b.platform.Boxes, Sender: s.life.sender, OwnedUntil: s.life.keeper.Sure,
+		Workers: b.platform.Workers, Boxes: b.platform.Boxes, Sender: s.life.sender, OwnedUntil: s.life.keeper.OwnedUntil,
 		Config: s.life.publisher.Current, Events: b.events, Log: logs.For(b.log, logs.Hall),
 	})
 	s.mu.Lock()
@@ -210,13 +210,13 @@
 		if err := u.Run(); err != nil {
 			b.log.Warn().Err(err).Msg("Unit is lost.")
 			b.log.Debug().Str("stack", eris.ToString(err, true)).Msg("Unit was lost here.")
-			s.life.keeper.GiveUp(context.Background(), h.Unit)
+			s.life.keeper.Release(context.Background(), h.Unit)
 		}
 	}()
 }
 
-// Disown implements ownership.Owner.
-func (s *units) Disown(unit string) time.Time {
+// StopUnit implements ownership.Owner.
+func (s *units) StopUnit(unit string) time.Time {
 	s.mu.Lock()
 	u := s.own[unit]
 	delete(s.own, unit)
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -82,8 +82,8 @@
 
 // Serve registers the handlers for calls from other boxes.
 func (c *Cell) Serve(mux *http.ServeMux) {
-	peer.Handle(mux, c.Members.Path(), c.Members.Answer)
-	peer.Handle(mux, c.Members.LeavingPath(), c.Members.Left)
+	peer.Handle(mux, c.Members.StatePath(), c.Members.HandleState)
+	peer.Handle(mux, c.Members.LeavingPath(), c.Members.HandleLeaving)
 	peer.Handle(mux, pathNotify, c.localNotify)
 	peer.Handle(mux, pathJob, c.localJob)
 	peer.Handle(mux, pathJobs, c.localJobs)
@@ -322,7 +322,7 @@
 		if !t.AllowsHall(h.Name) || s.Hall != "" && s.Hall != h.Name {
 			continue
 		}
-		for _, unit := range control.UnitsOf(h) {
+		for _, unit := range control.HallUnitNames(h) {
 			summary, reported := summaries[unit]
 			if !reported || summary.Workers == 0 {
 				unreported = append(unreported, unit)
@@ -349,7 +349,7 @@
 // tasks or requested by waiting ones. Each waiting task counts with the need of t.
 func (c *Cell) utilization(s hall.Summary, t config.Template) float64 {
 	waiting := int64(s.Waiting + c.recent[s.Unit].tasks)
-	return s.Used.Plus(t.Need.Times(waiting)).Dominant(s.Capacity)
+	return s.Used.Plus(t.Need.Times(waiting)).DominantShare(s.Capacity)
 }
 
 // countRecent adds tasks to the unit's count, which restarts after one second. The caller
--- a/cell/status.go
+++ b/cell/status.go
@@ -95,7 +95,7 @@
 func (c *Cell) localStatus(ready bool) BoxStatus {
 	b := BoxStatus{
 		Name: c.Self.Incarnation.Box(), Incarnation: string(c.Self.Incarnation), Hall: c.Self.Hall, HTTP: c.Self.HTTP,
-		State: BoxNotReady, Revision: c.Publisher.Current().Number, InForce: c.Publisher.Since(),
+		State: BoxNotReady, Revision: c.Publisher.Current().Number, InForce: c.Publisher.InForceSince(),
 	}
 	if ready {
 		b.State = BoxReady
@@ -130,7 +130,7 @@
 // CatchUp fetches revisions that peers report and that are newer than the current one.
 func (c *Cell) CatchUp() {
 	for _, p := range c.Members.Peers() {
-		c.Publisher.Heard(p.State.Revision, func() (config.Revision, error) {
+		c.Publisher.ApplyFromPeer(p.State.Revision, func() (config.Revision, error) {
 			ctx, cancel := transfer.WithStallLimit(context.Background(), revisionStallTimeout, nil)
 			defer cancel()
 			return peer.Call[config.Revision](ctx, c.Client, p.Row.Peer, pathCurrent, empty{})
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -42,14 +42,14 @@
 // Since returns the time elapsed since i, including time spent suspended.
 func (i Instant) Since() time.Duration { return Now().Sub(i) }
 
-// After returns the monotonic time at which d will have elapsed since i. Time spent
+// Deadline returns the monotonic time at which d will have elapsed since i. Time spent
 // suspended between i and the call counts towards d.
-func (i Instant) After(d time.Duration) time.Time {
+func (i Instant) Deadline(d time.Duration) time.Time {
 	return i.time.Add(d - max(0, totalSuspended()-i.suspended))
 }
 
-// Before returns the instant d before i, assuming no suspend in between.
-func (i Instant) Before(d time.Duration) Instant { return Instant{i.time.Add(-d), i.suspended} }
+// Earlier returns the instant d before i, assuming no suspend in between.
+func (i Instant) Earlier(d time.Duration) Instant { return Instant{i.time.Add(-d), i.suspended} }
 
 // Sub returns the time elapsed from earlier to i, including time spent suspended.
 func (i Instant) Sub(earlier Instant) time.Duration {
--- a/control/control.go
+++ b/control/control.go
@@ -50,8 +50,8 @@
 	Peer        string      `json:"peer" cbor:"3,keyasint"` // host:port for requests from other boxes
 	HTTP        string      `json:"http" cbor:"4,keyasint"` // host:port for requests from clients and operators
 	Leaving     bool        `json:"leaving" cbor:"5,keyasint,omitempty"`
-	// Beat is incremented with each heartbeat.
-	Beat uint64 `json:"beat" cbor:"6,keyasint"`
+	// HeartbeatCount is incremented with each heartbeat.
+	HeartbeatCount uint64 `json:"beat" cbor:"6,keyasint"`
 }
 
 func (b BoxRow) Key() string { return boxPrefix + string(b.Incarnation) }
@@ -61,9 +61,9 @@
 type UnitRow struct {
 	Owner Incarnation `cbor:"1,keyasint"` // empty if the unit was released
 	Epoch uint64      `cbor:"2,keyasint"`
-	// Sure is the latest time at which a previous owner may have granted a lease,
+	// PreviousOwnerUntil is the latest time at which a previous owner may have granted a lease,
 	// by the clock of the box that wrote the row.
-	Sure time.Time `cbor:"3,keyasint"`
+	PreviousOwnerUntil time.Time `cbor:"3,keyasint"`
 }
 
 // HeadRow is the head of the configuration: the number of its newest revision.
@@ -87,16 +87,16 @@
 	Boxes map[Incarnation]Versioned[BoxRow]
 	Units map[string]Versioned[UnitRow]
 	Head  Versioned[HeadRow]
-	// Asked is the time just before the read request: the view is no older.
-	Asked time.Time
+	// RequestedAt is the time just before the read request: the view is no older.
+	RequestedAt time.Time
 }
 
 // Read reads the control rows, at most maxRows of them.
 func Read(ctx context.Context, t provider.Table) (View, error) {
 	v := View{
-		Boxes: map[Incarnation]Versioned[BoxRow]{},
-		Units: map[string]Versioned[UnitRow]{},
-		Asked: time.Now(),
+		Boxes:       map[Incarnation]Versioned[BoxRow]{},
+		Units:       map[string]Versioned[UnitRow]{},
+		RequestedAt: time.Now(),
 	}
 	rows, err := t.Range(ctx, controlPrefix, "", maxRows)
 	if err != nil {
@@ -143,8 +143,8 @@
 
 func (e *RowError) Unwrap() error { return e.Cause }
 
-// Units returns the sorted names of the units of all halls of a configuration.
-func Units(s config.Set) []string {
+// AllUnitNames returns the sorted names of the units of all halls of a configuration.
+func AllUnitNames(s config.Set) []string {
 	var names []string
 	for _, h := range s.Halls {
 		for index := range h.Units {
@@ -155,8 +155,8 @@
 	return names
 }
 
-// UnitsOf returns the names of the units of a hall.
-func UnitsOf(h config.Hall) []string {
+// HallUnitNames returns the names of the units of a hall.
+func HallUnitNames(h config.Hall) []string {
 	var names []string
 	for index := range h.Units {
 		names = append(names, unitName(h, index))
@@ -164,12 +164,12 @@
 	return names
 }
 
-// UnitOf returns the name of the unit to which a rack of a hall belongs. Racks
+// UnitForRack returns the name of the unit to which a rack of a hall belongs. Racks
 // are distributed over the hall's units by a hash of their names.
 //
 // A change of a hall's number of units reassigns racks, but migrates neither
 // ledgers nor jobs: the hall must be drained first.
-func UnitOf(h config.Hall, rack string) string {
+func UnitForRack(h config.Hall, rack string) string {
 	sum := fnv.New32a()
 	sum.Write([]byte(rack))
 	return unitName(h, int(sum.Sum32()%uint32(h.Units)))
--- a/hall/bench_test.go
+++ b/hall/bench_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	u := New(ownership.Hold{Unit: "h", Epoch: 1, Version: version, Before: time.Now()}, set, benchmarkDeps(table, fleet, rev))
+	u := New(ownership.Assignment{Unit: "h", Epoch: 1, Version: version, PriorLeasesUntil: time.Now()}, set, benchmarkDeps(table, fleet, rev))
 	go u.Run()
 	waitUntil(func() bool {
 		ready := 0
@@ -230,7 +230,7 @@
 
 // takeoverBox is a box that is able to take over the hall.
 type takeoverBox struct {
-	manager *ownership.Keeper
+	manager *ownership.Manager
 	deps    Deps
 	units   chan *Unit
 	ownedAt time.Time
@@ -238,16 +238,16 @@
 	current *Unit
 }
 
-// Own implements ownership.Owner.
-func (t *takeoverBox) Own(h ownership.Hold) {
+// StartUnit implements ownership.Owner.
+func (t *takeoverBox) StartUnit(h ownership.Assignment) {
 	t.ownedAt = time.Now()
 	t.current = New(h, DefaultSettings, t.deps)
 	go t.current.Run()
 	t.units <- t.current
 }
 
-// Disown implements ownership.Owner.
-func (t *takeoverBox) Disown(string) time.Time {
+// StopUnit implements ownership.Owner.
+func (t *takeoverBox) StopUnit(string) time.Time {
 	t.current.cancel(errStopped)
 	return time.Now()
 }
@@ -255,10 +255,10 @@
 func newTakeoverBox(name string, table *standin.Table, fleet *standin.Fleet, rev config.Revision) *takeoverBox {
 	t := &takeoverBox{units: make(chan *Unit, 1), deps: benchmarkDeps(table, fleet, rev)}
 	self := control.BoxRow{Incarnation: control.NewIncarnation(name)}
-	times := ownership.Settings{Beat: time.Second, Lapse: 3 * time.Second}
+	times := ownership.Settings{HeartbeatInterval: time.Second, HeartbeatTimeout: 3 * time.Second}
 	t.manager = ownership.New(self, times, t.deps.Sender, t, zerolog.Nop())
 	t.manager.SetUnits([]string{"h"})
-	t.deps.OwnedUntil = t.manager.Sure
+	t.deps.OwnedUntil = t.manager.OwnedUntil
 	ctx, cancel := context.WithCancel(context.Background())
 	t.cancel = cancel
 	go t.manager.Run(ctx)
--- a/hall/decide.go
+++ b/hall/decide.go
@@ -43,13 +43,13 @@
 	defer u.mu.Unlock()
 	unplaceable := map[placementKey]bool{}
 	var done []*jobState
-	u.queue.Round(time.Now(), func(j *jobState) queue.Verdict {
+	u.queue.Round(time.Now(), func(j *jobState) queue.Outcome {
 		if u.uncommittedGrants >= maxUncommittedGrants {
 			return queue.Halt
 		}
 		if len(j.waiting) == 0 {
 			done = append(done, j)
-			return queue.Parked
+			return queue.Skipped
 		}
 		return u.placeNext(j, unplaceable)
 	})
@@ -60,21 +60,21 @@
 }
 
 // placeNext tries to place the next waiting task of a job. The caller holds u.mu.
-func (u *Unit) placeNext(j *jobState, unplaceable map[placementKey]bool) queue.Verdict {
+func (u *Unit) placeNext(j *jobState, unplaceable map[placementKey]bool) queue.Outcome {
 	u.Stats.Decisions++
 	key := placementKey{j.job.Template.Name, j.job.Revision, j.job.Template.Need}
 	if unplaceable[key] || u.overQuota(j) {
-		return queue.Parked
+		return queue.Skipped
 	}
 	t := j.tasks[j.waiting[0]]
 	info, found := u.chooseWorker(j)
 	if !found {
 		unplaceable[key] = true
-		return queue.Parked
+		return queue.Skipped
 	}
 	if err := u.grant(t, u.workers[info.Name]); err != nil {
 		u.log.Error().Err(err).Msg("placement index and ledger disagree: ledger rejected the grant")
-		return queue.Parked
+		return queue.Skipped
 	}
 	j.waiting = j.waiting[1:]
 	return queue.Placed
@@ -85,7 +85,7 @@
 // quota in each unit.
 func (u *Unit) overQuota(j *jobState) bool {
 	quota := u.deps.Config().Set.Accounts[j.job.Account].Quota
-	return !quota.Allows(u.queue.Used(j.job.Account).Plus(j.job.Template.Need))
+	return !quota.Allows(u.queue.Usage(j.job.Account).Plus(j.job.Template.Need))
 }
 
 // chooseWorker selects a worker for the next task of a job by the scoring of the
@@ -134,7 +134,7 @@
 	t.leaseUntil, t.startExpires = time.Time{}, time.Time{}
 	t.task = t.task.WithStart(id.Number, w.name(), now)
 	w.tasks[g.Attempt] = t
-	u.queue.Take(t.job.job.Account, tm.Need)
+	u.queue.AddUsage(t.job.job.Account, tm.Need)
 	u.countReplica(t, 1)
 	u.uncommittedGrants++
 	u.markDirty(w, change{onCommit: func(uint64) { u.grantCommitted(t) }})
@@ -166,7 +166,7 @@
 	}
 	w.ledger = next
 	u.countReplica(t, -1)
-	u.queue.Give(t.job.job.Account, t.grant.Need)
+	u.queue.SubtractUsage(t.job.job.Account, t.grant.Need)
 	u.reindex(w)
 }
 
--- a/hall/load.go
+++ b/hall/load.go
@@ -150,7 +150,7 @@
 	u.workers[w.name()] = w
 	u.reindex(w)
 	u.capacity = u.capacity.Plus(l.Worker().Capacity)
-	u.queue.SetWhole(u.capacity)
+	u.queue.SetCapacity(u.capacity)
 	u.group.Go(func() { u.watchLoop(w) })
 	u.group.Go(func() { u.callLoop(w) })
 	return w
@@ -169,10 +169,10 @@
 		}
 		t := j.tasks[a.Task]
 		t.phase, t.attempt, t.grant, t.worker = starting, g.Attempt, g, w
-		t.startExpires, t.leaseUntil = u.hold.Before, u.hold.Before.Add(g.Lease)
+		t.startExpires, t.leaseUntil = u.hold.PriorLeasesUntil, u.hold.PriorLeasesUntil.Add(g.Lease)
 		t.task = t.task.WithStart(a.Number, w.name(), time.Now())
 		w.tasks[g.Attempt] = t
-		u.queue.Take(j.job.Account, g.Need)
+		u.queue.AddUsage(j.job.Account, g.Need)
 		u.countReplica(t, 1)
 	}
 }
@@ -199,7 +199,7 @@
 		w.unlisted = !listed[name]
 		u.reindex(w)
 	}
-	u.queue.SetWhole(u.capacity)
+	u.queue.SetCapacity(u.capacity)
 	notify(u.decideSignal)
 }
 
--- a/hall/unit.go
+++ b/hall/unit.go
@@ -66,7 +66,7 @@
 
 // Unit schedules the jobs of a unit while this box owns it.
 type Unit struct {
-	hold     ownership.Hold
+	hold     ownership.Assignment
 	settings Settings
 	deps     Deps
 	log      zerolog.Logger
@@ -122,8 +122,8 @@
 // Account implements queue.Item.
 func (j *jobState) Account() string { return j.job.Account }
 
-// Since implements queue.Item.
-func (j *jobState) Since() time.Time { return j.job.Created }
+// QueuedAt implements queue.Item.
+func (j *jobState) QueuedAt() time.Time { return j.job.Created }
 
 // phase is the stage of a task's current attempt.
 type phase int
@@ -204,7 +204,7 @@
 var errStopped = errors.New("unit stopped")
 
 // New returns a unit that is ready to Run.
-func New(h ownership.Hold, set Settings, deps Deps) *Unit {
+func New(h ownership.Assignment, set Settings, deps Deps) *Unit {
 	u := &Unit{
 		hold: h, settings: set, deps: deps, log: deps.Log.With().Str("unit", h.Unit).Logger(),
 		decideSignal: make(chan struct{}, 1), flushSignal: make(chan struct{}, 1), inboxSignal: make(chan struct{}, 1),
@@ -278,5 +278,5 @@
 // owns reports whether a worker belongs to the unit according to the configuration.
 func (u *Unit) owns(w provider.Worker) bool {
 	h, declared := u.deps.Config().Set.Halls[w.Hall]
-	return declared && control.UnitOf(h, w.Rack) == u.hold.Unit
+	return declared && control.UnitForRack(h, w.Rack) == u.hold.Unit
 }
--- a/hall/unit_test.go
+++ b/hall/unit_test.go
@@ -92,7 +92,7 @@
 	b.epoch++
 	now := time.Now()
 	b.recordTakeover(now)
-	owner := control.UnitRow{Owner: control.NewIncarnation("box"), Epoch: b.epoch, Sure: now}
+	owner := control.UnitRow{Owner: control.NewIncarnation("box"), Epoch: b.epoch, PreviousOwnerUntil: now}
 	sender := commit.NewSender(b.table, rate.NewLimiter(rate.Inf, 1))
 	txn := provider.Txn{ID: fmt.Sprint("own-", b.epoch)}.Put(control.UnitKey("h"), previous.Version, control.Encode(owner))
 	version, err := sender.Do(ctx, txn)
@@ -103,7 +103,7 @@
 	index := len(b.takenOver)
 	b.takenOver = append(b.takenOver, time.Time{})
 	b.mu.Unlock()
-	u := New(ownership.Hold{Unit: "h", Epoch: b.epoch, Version: version, Before: now}, DefaultSettings, Deps{
+	u := New(ownership.Assignment{Unit: "h", Epoch: b.epoch, Version: version, PriorLeasesUntil: now}, DefaultSettings, Deps{
 		Workers: b.fleet, Boxes: &b.boxes, Sender: sender,
 		OwnedUntil: func() time.Time { return b.ownedUntil(index) },
 		Config:     b.config,
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -27,8 +27,8 @@
 
 // Files that NewAuthority writes.
 const (
-	AuthorityCert    = "authority.pem"
-	AuthorityKeyFile = "authority-key.pem"
+	AuthorityCertFile = "authority.pem"
+	AuthorityKeyFile  = "authority-key.pem"
 )
 
 // FileError reports a certificate or key file that could not be read or written.
@@ -48,13 +48,13 @@
 	return e.File + ": no valid PEM-encoded certificate found"
 }
 
-// NewAuthority writes the certificate and key of a new certificate authority to
+// EnsureAuthority writes the certificate and key of a new certificate authority to
 // dir. It does nothing if dir already has an authority certificate.
-func NewAuthority(dir string) error {
+func EnsureAuthority(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return &FileError{dir, err}
 	}
-	if _, err := os.Stat(filepath.Join(dir, AuthorityCert)); err == nil {
+	if _, err := os.Stat(filepath.Join(dir, AuthorityCertFile)); err == nil {
 		return nil
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -68,19 +68,19 @@
 	if err != nil {
 		return &FileError{dir, err}
 	}
-	return writePair(dir, AuthorityCert, AuthorityKeyFile, der, key)
+	return writePair(dir, AuthorityCertFile, AuthorityKeyFile, der, key)
 }
 
-// NewBox issues a certificate for the named box, signed by the authority in dir.
+// NewBoxCertificate issues a certificate for the named box, signed by the authority in dir.
 // It writes NAME.pem and NAME-key.pem to dir.
-func NewBox(dir, name string) error {
-	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, AuthorityCert), filepath.Join(dir, AuthorityKeyFile))
+func NewBoxCertificate(dir, name string) error {
+	ca, err := tls.LoadX509KeyPair(filepath.Join(dir, AuthorityCertFile), filepath.Join(dir, AuthorityKeyFile))
 	if err != nil {
-		return &FileError{filepath.Join(dir, AuthorityCert), err}
+		return &FileError{filepath.Join(dir, AuthorityCertFile), err}
 	}
 	parent, err := x509.ParseCertificate(ca.Certificate[0])
 	if err != nil {
-		return &FileError{filepath.Join(dir, AuthorityCert), err}
+		return &FileError{filepath.Join(dir, AuthorityCertFile), err}
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -132,22 +132,22 @@
 	return nil
 }
 
-// Ephemeral returns the TLS configuration of a box that runs without peers. Its
+// EphemeralConfig returns the TLS configuration of a box that runs without peers. Its
 // authority and certificate are generated in a temporary directory, which is
-// removed before Ephemeral returns.
-func Ephemeral(name string) (*tls.Config, error) {
+// removed before EphemeralConfig returns.
+func EphemeralConfig(name string) (*tls.Config, error) {
 	dir, err := os.MkdirTemp("", "chutereach-keys-")
 	if err != nil {
 		return nil, &FileError{"temporary key directory", err}
 	}
 	defer os.RemoveAll(dir)
-	if err := NewAuthority(dir); err != nil {
+	if err := EnsureAuthority(dir); err != nil {
 		return nil, err
 	}
-	if err := NewBox(dir, name); err != nil {
+	if err := NewBoxCertificate(dir, name); err != nil {
 		return nil, err
 	}
-	return Config(Files{filepath.Join(dir, AuthorityCert), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")})
+	return Config(Files{filepath.Join(dir, AuthorityCertFile), filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem")})
 }
 
 // Files holds the paths of a box's certificate files.
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -82,7 +82,7 @@
 // WithGrant returns l with g added. It returns l unchanged and an OverCapacityError or a
 // DuplicateGrantError if g cannot be added.
 func (l Ledger) WithGrant(g Grant) (Ledger, error) {
-	if kind, lacking := g.Need.Lacking(l.Free()); lacking || !g.Need.Valid() {
+	if kind, lacking := g.Need.Shortage(l.Free()); lacking || !g.Need.Valid() {
 		return l, &OverCapacityError{l.worker.Name, kind, g.Need, l.Free()}
 	}
 	if l.indexOf(g.Attempt) >= 0 {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -48,7 +48,7 @@
 		for _, g := range l.Grants() {
 			sum = sum.Plus(g.Need)
 		}
-		if kind, over := l.Used().Lacking(worker.Capacity); over || sum != l.Used() {
+		if kind, over := l.Used().Shortage(worker.Capacity); over || sum != l.Used() {
 			r.Fatalf("used %v of %v (%s), sum of grants is %v", l.Used(), worker.Capacity, kind, sum)
 		}
 		back, err := Decode(l.Encode())
--- a/member/member.go
+++ b/member/member.go
@@ -71,13 +71,15 @@
 
 // Peer is another box and the last state received from it.
 type Peer struct {
-	Row   control.BoxRow
-	State State
-	Heard time.Time // time of the last response, zero if there was none
+	Row          control.BoxRow
+	State        State
+	LastResponse time.Time // time of the last response, zero if there was none
 }
 
 // Alive reports whether the peer has responded within peerTimeout.
-func (p Peer) Alive() bool { return !p.Heard.IsZero() && time.Since(p.Heard) < peerTimeout }
+func (p Peer) Alive() bool {
+	return !p.LastResponse.IsZero() && time.Since(p.LastResponse) < peerTimeout
+}
 
 const (
 	// pollInterval is the pause between two state requests to a peer.
@@ -145,7 +147,7 @@
 		return false
 	}
 	for _, p := range m.peers {
-		if p.Heard.IsZero() && time.Since(p.firstSeen) < peerTimeout {
+		if p.LastResponse.IsZero() && time.Since(p.firstSeen) < peerTimeout {
 			return false
 		}
 	}
@@ -153,9 +155,9 @@
 	return true
 }
 
-// Settled reports whether every peer listed in the table has responded or exceeded
+// Synced reports whether every peer listed in the table has responded or exceeded
 // peerTimeout. Before that, the box would consider itself the home of every upstream.
-func (m *Members) Settled() bool {
+func (m *Members) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.synced
@@ -179,12 +181,12 @@
 	}
 }
 
-// Introduce adds a peer as if it had responded at the time heard, without polling
+// AddPeer adds a peer as if it had responded at the time heard, without polling
 // it. It is for tests of routers without a network.
-func (m *Members) Introduce(row control.BoxRow, heard time.Time) {
+func (m *Members) AddPeer(row control.BoxRow, heard time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := &member{Peer: Peer{Row: row, Heard: heard}, cancel: func() {}}
+	p := &member{Peer: Peer{Row: row, LastResponse: heard}, cancel: func() {}}
 	p.State.Loads = map[string]Load{}
 	m.peers[row.Incarnation] = p
 	m.synced = true
@@ -209,9 +211,9 @@
 	// The address may now belong to another incarnation, whose state is not that of
 	// this peer.
 	if err == nil && s.Incarnation == p.Row.Incarnation {
-		m.clock.Seen(s.Stamp)
+		m.clock.Update(s.Stamp)
 		s.Leaving = s.Leaving || p.announcedLeaving
-		p.State, p.Heard = s, time.Now()
+		p.State, p.LastResponse = s, time.Now()
 	}
 	changed := p.Alive() != wasAlive || p.State.Leaving != wasLeaving
 	changed = m.merge(s.Endpoints) || changed
@@ -250,8 +252,8 @@
 	return changed
 }
 
-// SetOwn sets the endpoints of a unit that this box owns.
-func (m *Members) SetOwn(unit string, epoch uint64, list []hall.Endpoint) {
+// SetLocalEndpoints sets the endpoints of a unit that this box owns.
+func (m *Members) SetLocalEndpoints(unit string, epoch uint64, list []hall.Endpoint) {
 	m.mu.Lock()
 	old := m.endpoints[unit]
 	if old.Version.Epoch == epoch && slices.Equal(old.List, list) {
@@ -267,9 +269,9 @@
 	m.notify()
 }
 
-// Answer handles a peer's request for the state of this box.
-func (m *Members) Answer(_ context.Context, a StateRequest) (State, error) {
-	m.clock.Seen(a.Stamp)
+// HandleState handles a peer's request for the state of this box.
+func (m *Members) HandleState(_ context.Context, a StateRequest) (State, error) {
+	m.clock.Update(a.Stamp)
 	s := m.localState()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -281,9 +283,9 @@
 	return s, nil
 }
 
-// SayLeaving notifies every peer that this box is leaving, so that they send it no
+// AnnounceLeaving notifies every peer that this box is leaving, so that they send it no
 // further requests while the remaining ones complete.
-func (m *Members) SayLeaving(ctx context.Context) {
+func (m *Members) AnnounceLeaving(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, stallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -296,9 +298,9 @@
 	wg.Wait()
 }
 
-// Left handles a peer's notice that it is leaving. It reports whether the peer is
+// HandleLeaving handles a peer's notice that it is leaving. It reports whether the peer is
 // known.
-func (m *Members) Left(_ context.Context, i control.Incarnation) (bool, error) {
+func (m *Members) HandleLeaving(_ context.Context, i control.Incarnation) (bool, error) {
 	m.mu.Lock()
 	p := m.peers[i]
 	if p != nil {
@@ -312,8 +314,8 @@
 // LeavingPath returns the path at which Left must be served.
 func (m *Members) LeavingPath() string { return leavingPath }
 
-// Path returns the path at which Answer must be served.
-func (m *Members) Path() string { return statePath }
+// StatePath returns the path at which Answer must be served.
+func (m *Members) StatePath() string { return statePath }
 
 // Peers returns the other boxes, sorted by incarnation.
 func (m *Members) Peers() []Peer {
@@ -337,9 +339,9 @@
 	Load Load
 }
 
-// LoadsOf returns the peers that accept requests, each with its last known load for a
+// ServiceLoads returns the peers that accept requests, each with its last known load for a
 // service.
-func (m *Members) LoadsOf(service string) []PeerLoad {
+func (m *Members) ServiceLoads(service string) []PeerLoad {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := make([]PeerLoad, 0, len(m.peers))
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -18,7 +18,7 @@
 // newWithPeer returns a Members with one peer that has just responded.
 func newWithPeer(id control.Incarnation) *Members {
 	m := New(control.BoxRow{Incarnation: "me.1"}, nil, &timeline.Clock{}, func() State { return State{} })
-	p := &member{Peer: Peer{Row: control.BoxRow{Incarnation: id}, Heard: time.Now()}}
+	p := &member{Peer: Peer{Row: control.BoxRow{Incarnation: id}, LastResponse: time.Now()}}
 	p.State.Loads = map[string]Load{"s": {Slots: 8}}
 	m.peers[id] = p
 	return m
@@ -38,7 +38,7 @@
 		})
 		wg.Go(func() {
 			for range 500 {
-				m.LoadsOf("s")
+				m.ServiceLoads("s")
 				for _, p := range m.Peers() {
 					p.State.Loads["s"] = Load{} // must be a copy
 				}
@@ -46,7 +46,7 @@
 		})
 	}
 	wg.Wait()
-	if got := m.LoadsOf("s"); len(got) != 1 || got[0].Load.Slots != 8 {
+	if got := m.ServiceLoads("s"); len(got) != 1 || got[0].Load.Slots != 8 {
 		t.Errorf("loads = %v", got)
 	}
 }
@@ -86,9 +86,9 @@
 		for i := range list {
 			list[i] = hall.Endpoint{Service: "s", Attempt: fmt.Sprintf("attempt-%d", i), Address: "10.0.0.1:80", Slots: 8}
 		}
-		large.SetOwn("u", 1, list)
+		large.SetLocalEndpoints("u", 1, list)
 		mux := http.NewServeMux()
-		peer.Handle(mux, large.Path(), large.Answer)
+		peer.Handle(mux, large.StatePath(), large.HandleState)
 		server := peer.NewPlainServer(network.Listen(other.Peer), mux)
 		go server.Serve()
 		client := peer.NewPlainClientOver(network.Dial("me"))
--- a/node/relay.go
+++ b/node/relay.go
@@ -235,7 +235,7 @@
 		n.metrics.tableExchanges.Add(fromRelay, 1)
 		n.routes.Offer(table)
 	}
-	n.applyEvacuations(evacuation.NewView(answer.Halls, answer.EvacuationVersion, now.Before(age)))
+	n.applyEvacuations(evacuation.NewView(answer.Halls, answer.EvacuationVersion, now.Earlier(age)))
 	if !n.routes.OlderThan(answer.TableVersion) {
 		n.tables.confirm(age)
 	}
--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -19,35 +19,35 @@
 
 // Settings holds the timing parameters of a Keeper.
 type Settings struct {
-	Beat  time.Duration // interval between heartbeats, and between reads of the control rows
-	Lapse time.Duration // time after which an unchanged heartbeat has expired
+	HeartbeatInterval time.Duration // interval between heartbeats, and between reads of the control rows
+	HeartbeatTimeout  time.Duration // time after which an unchanged heartbeat has expired
 }
 
-// Hold is a box's ownership of a unit.
-type Hold struct {
+// Assignment is a box's ownership of a unit.
+type Assignment struct {
 	Unit    string
 	Epoch   uint64
 	Version uint64 // version of the unit's row, required by every commit for the unit
-	// Before is the time until which a previous owner may have granted task leases
-	// and issued calls. A task lease of duration L from it expires by Before plus L.
-	Before time.Time
+	// PriorLeasesUntil is the time until which a previous owner may have granted task leases
+	// and issued calls. A task lease of duration L from it expires by PriorLeasesUntil plus L.
+	PriorLeasesUntil time.Time
 }
 
-// Owner runs the units that are assigned to a box.
-type Owner interface {
-	// Own starts a unit. It must not block.
-	Own(h Hold)
-	// Disown stops a unit and blocks until nothing more is sent for it. It returns
+// UnitRunner runs the units that are assigned to a box.
+type UnitRunner interface {
+	// StartUnit starts a unit. It must not block.
+	StartUnit(h Assignment)
+	// StopUnit stops a unit and blocks until nothing more is sent for it. It returns
 	// the time, by this box's clock, until which leases may have been granted.
-	Disown(unit string) (validUntil time.Time)
+	StopUnit(unit string) (validUntil time.Time)
 }
 
-// Keeper maintains the heartbeat of one box and the set of units it owns.
-type Keeper struct {
+// Manager maintains the heartbeat of one box and the set of units it owns.
+type Manager struct {
 	self     control.BoxRow
 	settings Settings
 	sender   *commit.Sender
-	owner    Owner
+	owner    UnitRunner
 	log      zerolog.Logger
 
 	mu                sync.Mutex
@@ -55,7 +55,7 @@
 	lastHeartbeatSent clock.Instant // start of the last successful heartbeat write
 	heartbeatRTT      time.Duration // duration of the last successful heartbeat write
 	dead              error         // unused
-	held              map[string]Hold
+	held              map[string]Assignment
 	view              control.View
 	observations      map[control.Incarnation]heartbeatObservation
 	units             []string // units that the configuration declares
@@ -72,48 +72,48 @@
 	reads          int // number of reads that contained the row
 }
 
-func New(self control.BoxRow, settings Settings, sender *commit.Sender, owner Owner, log zerolog.Logger) *Keeper {
-	return &Keeper{
+func New(self control.BoxRow, settings Settings, sender *commit.Sender, owner UnitRunner, log zerolog.Logger) *Manager {
+	return &Manager{
 		self: self, settings: settings, sender: sender, owner: owner, log: log,
-		held: map[string]Hold{}, observations: map[control.Incarnation]heartbeatObservation{}, deferredReads: map[string]int{},
+		held: map[string]Assignment{}, observations: map[control.Incarnation]heartbeatObservation{}, deferredReads: map[string]int{},
 	}
 }
 
 // OnView registers f to be called with every view that the Keeper reads. It must
 // be called before Run.
-func (k *Keeper) OnView(f func(control.View)) { k.viewListeners = append(k.viewListeners, f) }
+func (k *Manager) OnView(f func(control.View)) { k.viewListeners = append(k.viewListeners, f) }
 
 // SetUnits sets the units that the configuration declares.
-func (k *Keeper) SetUnits(units []string) {
+func (k *Manager) SetUnits(units []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.units = units
 }
 
-// Sure returns the time until which no other box can take over this box's units.
+// OwnedUntil returns the time until which no other box can take over this box's units.
 // It is counted from the last heartbeat, including time during which this machine
 // was suspended, and is zero before the first heartbeat.
-func (k *Keeper) Sure() time.Time {
+func (k *Manager) OwnedUntil() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.lastHeartbeatSent.IsZero() {
 		return time.Time{}
 	}
-	return k.lastHeartbeatSent.After(k.settings.Lapse)
+	return k.lastHeartbeatSent.Deadline(k.settings.HeartbeatTimeout)
 }
 
 // View returns the view that was read last.
-func (k *Keeper) View() control.View {
+func (k *Manager) View() control.View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.view
 }
 
-// Held returns a copy of the map of units that this box owns.
-func (k *Keeper) Held() map[string]Hold {
+// OwnedUnits returns a copy of the map of units that this box owns.
+func (k *Manager) OwnedUnits() map[string]Assignment {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held := make(map[string]Hold, len(k.held))
+	held := make(map[string]Assignment, len(k.held))
 	for u, h := range k.held {
 		held[u] = h
 	}
@@ -131,7 +131,7 @@
 // Run sends heartbeats and reconciles the units until ctx ends, in which case it
 // returns nil, or until the incarnation is declared dead, in which case it stops
 // all units and returns a FencedError.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Manager) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wg sync.WaitGroup
@@ -150,9 +150,9 @@
 // runPeriodically calls f until ctx ends. The interval between the starts of two
 // calls is Settings.Beat, less up to 10 % of jitter so that boxes don't synchronize.
 // If a call took longer than the interval, the next one starts immediately.
-func (k *Keeper) runPeriodically(ctx context.Context, f func()) {
+func (k *Manager) runPeriodically(ctx context.Context, f func()) {
 	for ctx.Err() == nil {
-		next := time.Now().Add(k.settings.Beat - time.Duration(rand.Int64N(int64(k.settings.Beat)/10+1)))
+		next := time.Now().Add(k.settings.HeartbeatInterval - time.Duration(rand.Int64N(int64(k.settings.HeartbeatInterval)/10+1)))
 		f()
 		wait.For(ctx, time.Until(next))
 	}
@@ -160,9 +160,9 @@
 
 // sendHeartbeat renews the heartbeat row. It calls fence if the row is no longer at
 // the version that this box wrote, as another box has declared this one dead.
-func (k *Keeper) sendHeartbeat(ctx context.Context, fence context.CancelCauseFunc) {
+func (k *Manager) sendHeartbeat(ctx context.Context, fence context.CancelCauseFunc) {
 	k.mu.Lock()
-	k.self.Beat++
+	k.self.HeartbeatCount++
 	row, version := k.self, k.version
 	k.mu.Unlock()
 	sent := clock.Now()
@@ -184,7 +184,7 @@
 
 // readAndReconcile reads the control rows and acts on them. If another box changed
 // the rows first, it retries once, as that box may have left units to take.
-func (k *Keeper) readAndReconcile(ctx context.Context) {
+func (k *Manager) readAndReconcile(ctx context.Context) {
 	if k.readOnce(ctx) {
 		k.readOnce(ctx)
 	}
@@ -192,7 +192,7 @@
 
 // readOnce reads the control rows, passes them to the listeners and reconciles. It
 // reports whether the rows had changed since they were read.
-func (k *Keeper) readOnce(ctx context.Context) (stale bool) {
+func (k *Manager) readOnce(ctx context.Context) (stale bool) {
 	v, err := control.Read(ctx, k.sender.Table())
 	if err != nil {
 		if ctx.Err() == nil {
@@ -215,7 +215,7 @@
 
 // observeHeartbeats records for each heartbeat row when its current version was
 // first seen. The caller holds k.mu.
-func (k *Keeper) observeHeartbeats(v control.View) {
+func (k *Manager) observeHeartbeats(v control.View) {
 	for i, b := range v.Boxes {
 		s, known := k.observations[i]
 		if !known || s.version != b.Version {
@@ -233,14 +233,14 @@
 
 // heartbeatExpired reports whether the heartbeat of a box has expired. The caller
 // holds k.mu.
-func (k *Keeper) heartbeatExpired(i control.Incarnation) bool {
+func (k *Manager) heartbeatExpired(i control.Incarnation) bool {
 	s, known := k.observations[i]
-	return !known || time.Since(s.unchangedSince) > k.settings.Lapse+k.heartbeatRTT
+	return !known || time.Since(s.unchangedSince) > k.settings.HeartbeatTimeout+k.heartbeatRTT
 }
 
 // SetDrained sets whether the box is drained. A drained box releases one unit per
 // read of the control rows and takes none.
-func (k *Keeper) SetDrained(drained bool) {
+func (k *Manager) SetDrained(drained bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.self.Leaving = drained || k.leaving
@@ -248,11 +248,11 @@
 
 // Leave stops the box from taking units, releases the units it owns one by one and
 // deletes its heartbeat row. It returns when this is done or ctx ends.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *Manager) Leave(ctx context.Context) {
 	k.mu.Lock()
 	k.leaving, k.self.Leaving = true, true
 	k.mu.Unlock()
-	for unit := range k.Held() {
+	for unit := range k.OwnedUnits() {
 		k.release(ctx, unit)
 	}
 	k.mu.Lock()
@@ -263,20 +263,20 @@
 	k.sender.Do(ctx, removal)
 }
 
-// GiveUp releases a unit that can no longer run on this box, so that a box takes it
+// Release releases a unit that can no longer run on this box, so that a box takes it
 // over and starts it again.
-func (k *Keeper) GiveUp(ctx context.Context, unit string) { k.release(ctx, unit) }
+func (k *Manager) Release(ctx context.Context, unit string) { k.release(ctx, unit) }
 
-func (k *Keeper) stopAllUnits() {
-	for unit := range k.Held() {
+func (k *Manager) stopAllUnits() {
+	for unit := range k.OwnedUnits() {
 		k.stopUnit(unit)
 	}
 }
 
 // stopUnit stops a unit on this box without changing its row. It returns the time
 // until which leases may have been granted.
-func (k *Keeper) stopUnit(unit string) time.Time {
-	validUntil := k.owner.Disown(unit)
+func (k *Manager) stopUnit(unit string) time.Time {
+	validUntil := k.owner.StopUnit(unit)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.held, unit)
--- a/ownership/keeper_test.go
+++ b/ownership/keeper_test.go
@@ -19,21 +19,21 @@
 	"chutereach/standin"
 )
 
-var testTimes = Settings{Beat: time.Second, Lapse: 3 * time.Second}
+var testTimes = Settings{HeartbeatInterval: time.Second, HeartbeatTimeout: 3 * time.Second}
 
 // recordingOwner is an Owner that only records the units it owns.
 type recordingOwner struct {
 	mu   sync.Mutex
-	held map[string]Hold
+	held map[string]Assignment
 }
 
-func (o *recordingOwner) Own(h Hold) {
+func (o *recordingOwner) StartUnit(h Assignment) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.held[h.Unit] = h
 }
 
-func (o *recordingOwner) Disown(unit string) time.Time {
+func (o *recordingOwner) StopUnit(unit string) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.held, unit)
@@ -43,7 +43,7 @@
 // testBox is one box of a testCell. It reaches the shared table through a
 // faultyTable of its own, so that it can be disconnected alone.
 type testBox struct {
-	*Keeper
+	*Manager
 	owner  *recordingOwner
 	cancel context.CancelFunc
 	ended  chan error
@@ -89,10 +89,10 @@
 }
 
 func (c *testCell) start() *testBox {
-	n := &testBox{owner: &recordingOwner{held: map[string]Hold{}}, ended: make(chan error, 1), table: &faultyTable{Table: c.table}}
+	n := &testBox{owner: &recordingOwner{held: map[string]Assignment{}}, ended: make(chan error, 1), table: &faultyTable{Table: c.table}}
 	self := control.BoxRow{Incarnation: control.NewIncarnation(fmt.Sprintf("box-%d", len(c.boxes)+1))}
 	sender := commit.NewSender(n.table, rate.NewLimiter(rate.Inf, 1))
-	n.Keeper = New(self, testTimes, sender, n.owner, zerolog.Nop())
+	n.Manager = New(self, testTimes, sender, n.owner, zerolog.Nop())
 	n.SetUnits(c.units)
 	var ctx context.Context
 	ctx, n.cancel = context.WithCancel(context.Background())
@@ -112,10 +112,10 @@
 func (c *testCell) currentOwners() map[string]*testBox {
 	owners := map[string]*testBox{}
 	for _, n := range c.boxes {
-		if !time.Now().Before(n.Sure()) {
+		if !time.Now().Before(n.OwnedUntil()) {
 			continue
 		}
-		for unit := range n.Held() {
+		for unit := range n.OwnedUnits() {
 			if other := owners[unit]; other != nil {
 				c.t.Errorf("%s is held by %s and %s at once", unit, other.self.Incarnation, n.self.Incarnation)
 			}
@@ -149,7 +149,7 @@
 		if len(n.ended) > 0 {
 			continue
 		}
-		for unit := range n.Held() {
+		for unit := range n.OwnedUnits() {
 			units[unit] = true
 		}
 	}
@@ -159,7 +159,7 @@
 func (c *testCell) unitCounts() []int {
 	var counts []int
 	for _, n := range c.boxes {
-		counts = append(counts, len(n.Held()))
+		counts = append(counts, len(n.OwnedUnits()))
 	}
 	slices.Sort(counts)
 	return counts
@@ -266,7 +266,7 @@
 		n := c.boxes[1]
 		n.SetDrained(true)
 		c.countMoves(20 * time.Second)
-		if held := len(n.Held()); held != 0 || c.runningUnits() != 9 {
+		if held := len(n.OwnedUnits()); held != 0 || c.runningUnits() != 9 {
 			t.Errorf("drained box owns %d units, want 0; %d of 9 units are running", held, c.runningUnits())
 		}
 		n.SetDrained(false)
@@ -283,16 +283,16 @@
 		c := newCell(t, 4, 8)
 		defer c.stop()
 		c.countMoves(30 * time.Second)
-		held := map[string]Hold{}
+		held := map[string]Assignment{}
 		for _, n := range c.boxes {
-			for u, h := range n.Held() {
+			for u, h := range n.OwnedUnits() {
 				held[u] = h
 			}
 		}
 		c.table.Faults.Always(standin.Fault{Delay: 2 * time.Second})
 		c.countMoves(5 * time.Minute)
 		for _, n := range c.boxes {
-			for u, h := range n.Held() {
+			for u, h := range n.OwnedUnits() {
 				if h.Epoch != held[u].Epoch {
 					t.Errorf("owner of %s changed: epoch %d, then %d", u, held[u].Epoch, h.Epoch)
 				}
--- a/ownership/spread.go
+++ b/ownership/spread.go
@@ -24,7 +24,7 @@
 
 // reconcile compares the units in a view with those that this box should own, and
 // takes or releases units. It reports whether the rows had changed since v was read.
-func (k *Keeper) reconcile(ctx context.Context, v control.View) (stale bool) {
+func (k *Manager) reconcile(ctx context.Context, v control.View) (stale bool) {
 	k.stopLostUnits(v)
 	k.adopt(v)
 	k.mu.Lock()
@@ -38,8 +38,8 @@
 }
 
 // stopLostUnits stops the units that have another owner in v.
-func (k *Keeper) stopLostUnits(v control.View) {
-	for unit, h := range k.Held() {
+func (k *Manager) stopLostUnits(v control.View) {
+	for unit, h := range k.OwnedUnits() {
 		row := v.Units[unit]
 		if row.Version > h.Version && row.Row.Owner != k.self.Incarnation {
 			k.log.Warn().Str("unit", unit).Str("owner", string(row.Row.Owner)).Msg("Unit was taken over.")
@@ -55,7 +55,7 @@
 }
 
 // plan returns the changes that this box should make. The caller holds k.mu.
-func (k *Keeper) plan(v control.View) plan {
+func (k *Manager) plan(v control.View) plan {
 	eligible := k.eligibleBoxes(v)
 	if k.self.Leaving && !k.leaving {
 		return plan{release: k.anyHeld()}
@@ -80,7 +80,7 @@
 	return p
 }
 
-func (k *Keeper) anyHeld() string {
+func (k *Manager) anyHeld() string {
 	for unit := range k.held {
 		return unit
 	}
@@ -89,7 +89,7 @@
 
 // eligibleBoxes returns, in sorted order, the boxes to which units may be assigned.
 // joinReads doesn't apply to this box itself.
-func (k *Keeper) eligibleBoxes(v control.View) []control.Incarnation {
+func (k *Manager) eligibleBoxes(v control.View) []control.Incarnation {
 	var eligible []control.Incarnation
 	for i, b := range v.Boxes {
 		joined := k.observations[i].reads >= joinReads || i == k.self.Incarnation
@@ -103,7 +103,7 @@
 
 // countUnits returns the number of units that each box owns, and the units that are
 // free to be taken.
-func (k *Keeper) countUnits(v control.View, eligible []control.Incarnation) (map[control.Incarnation]int, []string) {
+func (k *Manager) countUnits(v control.View, eligible []control.Incarnation) (map[control.Incarnation]int, []string) {
 	owned := map[control.Incarnation]int{}
 	var free []string
 	for _, unit := range k.units {
@@ -122,7 +122,7 @@
 }
 
 // ownerExpired reports whether the units of an owner may be taken over.
-func (k *Keeper) ownerExpired(v control.View, owner control.Incarnation) bool {
+func (k *Manager) ownerExpired(v control.View, owner control.Incarnation) bool {
 	_, exists := v.Boxes[owner]
 	return !exists || k.heartbeatExpired(owner)
 }
@@ -130,7 +130,7 @@
 // preferredBoxes returns the boxes to which the next free unit should go: those that
 // own less than an equal share rounded down or, if there are none, less than an
 // equal share rounded up.
-func (k *Keeper) preferredBoxes(eligible []control.Incarnation, owned map[control.Incarnation]int) []control.Incarnation {
+func (k *Manager) preferredBoxes(eligible []control.Incarnation, owned map[control.Incarnation]int) []control.Incarnation {
 	low := len(k.units) / len(eligible)
 	high := (len(k.units) + len(eligible) - 1) / len(eligible)
 	for _, bound := range []int{low, high} {
@@ -150,7 +150,7 @@
 // shouldTake reports whether this box should take a free unit now: it ranks first for
 // the unit among the preferred boxes, or those that rank before it haven't taken the
 // unit within their turns.
-func (k *Keeper) shouldTake(unit string, preferred []control.Incarnation) bool {
+func (k *Manager) shouldTake(unit string, preferred []control.Incarnation) bool {
 	rank := slices.Index(rankBoxes(unit, preferred), k.self.Incarnation)
 	if rank < 0 {
 		return false
@@ -162,7 +162,7 @@
 // excessUnit returns a unit that this box should release to balance the number of
 // units per box, or "". Only the box that owns the most releases units, one at a
 // time, so that the distribution converges.
-func (k *Keeper) excessUnit(eligible []control.Incarnation, owned map[control.Incarnation]int) string {
+func (k *Manager) excessUnit(eligible []control.Incarnation, owned map[control.Incarnation]int) string {
 	mine := owned[k.self.Incarnation]
 	least := mine
 	for _, i := range eligible {
@@ -178,7 +178,7 @@
 }
 
 // leastPreferredUnit returns the owned unit for which this box ranks lowest.
-func (k *Keeper) leastPreferredUnit(eligible []control.Incarnation) string {
+func (k *Manager) leastPreferredUnit(eligible []control.Incarnation) string {
 	lowestRank, unit := -1, ""
 	for _, u := range k.units {
 		if _, held := k.held[u]; !held {
@@ -200,17 +200,17 @@
 // takeUnits makes this box the owner of units in one transaction. The transaction
 // requires the rows of the units, and the heartbeat rows of their previous owners,
 // to be unchanged since v was read. It reports whether one of them had changed.
-func (k *Keeper) takeUnits(ctx context.Context, v control.View, units []string) (stale bool) {
+func (k *Manager) takeUnits(ctx context.Context, v control.View, units []string) (stale bool) {
 	now := time.Now()
 	t := provider.Txn{ID: xid.New().String()}
 	rows := map[string]control.UnitRow{}
 	dead := map[control.Incarnation]bool{}
 	for _, unit := range units {
 		previous := v.Units[unit]
-		row := control.UnitRow{Owner: k.self.Incarnation, Epoch: previous.Row.Epoch + 1, Sure: previous.Row.Sure}
+		row := control.UnitRow{Owner: k.self.Incarnation, Epoch: previous.Row.Epoch + 1, PreviousOwnerUntil: previous.Row.PreviousOwnerUntil}
 		if previous.Row.Owner != "" {
 			dead[previous.Row.Owner] = true
-			row.Sure = now
+			row.PreviousOwnerUntil = now
 		}
 		rows[unit] = row
 		t = t.Put(control.UnitKey(unit), previous.Version, control.Encode(row))
@@ -224,33 +224,33 @@
 	}
 	for unit, row := range rows {
 		k.log.Info().Str("unit", unit).Uint64("epoch", row.Epoch).Str("from", string(v.Units[unit].Row.Owner)).Msg("Took ownership of a unit.")
-		k.startUnit(Hold{Unit: unit, Epoch: row.Epoch, Version: version, Before: row.Sure})
+		k.startUnit(Assignment{Unit: unit, Epoch: row.Epoch, Version: version, PriorLeasesUntil: row.PreviousOwnerUntil})
 	}
 	return false
 }
 
-func (k *Keeper) startUnit(h Hold) {
+func (k *Manager) startUnit(h Assignment) {
 	k.mu.Lock()
 	k.held[h.Unit] = h
 	delete(k.deferredReads, h.Unit)
 	k.mu.Unlock()
-	k.owner.Own(h)
+	k.owner.StartUnit(h)
 }
 
 // adopt starts units that this box owns in v but doesn't run, because the transaction
 // that took them was applied without its result reaching this box.
-func (k *Keeper) adopt(v control.View) {
-	held := k.Held()
+func (k *Manager) adopt(v control.View) {
+	held := k.OwnedUnits()
 	for unit, u := range v.Units {
 		_, known := held[unit]
 		if known || u.Row.Owner != k.self.Incarnation || k.isLeaving() {
 			continue
 		}
-		k.startUnit(Hold{Unit: unit, Epoch: u.Row.Epoch, Version: u.Version, Before: u.Row.Sure})
+		k.startUnit(Assignment{Unit: unit, Epoch: u.Row.Epoch, Version: u.Version, PriorLeasesUntil: u.Row.PreviousOwnerUntil})
 	}
 }
 
-func (k *Keeper) isLeaving() bool {
+func (k *Manager) isLeaving() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.leaving
@@ -262,12 +262,12 @@
 
 // reap removes the heartbeat rows of failed boxes that owned no units. Only the first
 // eligible box does so.
-func (k *Keeper) reap(ctx context.Context, v control.View) {
+func (k *Manager) reap(ctx context.Context, v control.View) {
 	k.mu.Lock()
 	eligible := k.eligibleBoxes(v)
 	t := provider.Txn{ID: xid.New().String()}
 	for i, b := range v.Boxes {
-		if time.Since(k.observations[i].unchangedSince) > reapTimeouts*k.settings.Lapse {
+		if time.Since(k.observations[i].unchangedSince) > reapTimeouts*k.settings.HeartbeatTimeout {
 			t = t.Remove(b.Row.Key(), b.Version)
 		}
 	}
@@ -282,7 +282,7 @@
 
 // logFailure logs why the ownership of units was not changed. It reports whether the
 // cause was a conflict with another box.
-func (k *Keeper) logFailure(units []string, err error) (conflicted bool) {
+func (k *Manager) logFailure(units []string, err error) (conflicted bool) {
 	var conflict *provider.ConflictError
 	if errors.As(err, &conflict) {
 		k.log.Debug().Strs("units", units).Msg("Ownership was not changed: another box changed the rows first.")
@@ -294,13 +294,13 @@
 
 // release stops a unit and clears its owner in the table, so that another box can
 // take it without waiting for this box's heartbeat to expire.
-func (k *Keeper) release(ctx context.Context, unit string) {
-	h, held := k.Held()[unit]
+func (k *Manager) release(ctx context.Context, unit string) {
+	h, held := k.OwnedUnits()[unit]
 	if !held {
 		return
 	}
 	validUntil := k.stopUnit(unit)
-	row := control.UnitRow{Epoch: h.Epoch, Sure: validUntil}
+	row := control.UnitRow{Epoch: h.Epoch, PreviousOwnerUntil: validUntil}
 	t := provider.Txn{ID: xid.New().String()}.Put(control.UnitKey(unit), h.Version, control.Encode(row))
 	if _, err := k.sender.Do(ctx, t); err != nil {
 		k.logFailure([]string{unit}, err)
--- a/ownership/suspend_test.go
+++ b/ownership/suspend_test.go
@@ -22,9 +22,9 @@
 				time.Sleep(5 * time.Second)
 				n := c.boxes[0]
 				n.table.faults.Always(standin.Fault{Refuse: standin.Down(provider.TableService)})
-				before := n.Sure()
+				before := n.OwnedUntil()
 				machine.Suspend(suspended)
-				if got := before.Sub(n.Sure()); got != suspended {
+				if got := before.Sub(n.OwnedUntil()); got != suspended {
 					t.Errorf("ownership validity after a suspension of %v is shorter by %v, want %v", suspended, got, suspended)
 				}
 			})
--- a/publish/publish.go
+++ b/publish/publish.go
@@ -62,16 +62,16 @@
 	return p.current
 }
 
-// Since returns the time at which the current revision was applied on this box.
-func (p *Publisher) Since() time.Time {
+// InForceSince returns the time at which the current revision was applied on this box.
+func (p *Publisher) InForceSince() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.inForceSince
 }
 
-// Checked returns the latest time at which the head is known to have been no newer
+// HeadCheckedAt returns the latest time at which the head is known to have been no newer
 // than the current revision.
-func (p *Publisher) Checked() time.Time {
+func (p *Publisher) HeadCheckedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.headCheckedAt
@@ -96,9 +96,9 @@
 	}
 }
 
-// SetView reads and applies the revision at the head in v, if it is newer than the
+// FollowHead reads and applies the revision at the head in v, if it is newer than the
 // current one.
-func (p *Publisher) SetView(ctx context.Context, v control.View) {
+func (p *Publisher) FollowHead(ctx context.Context, v control.View) {
 	if v.Head.Row.Revision > p.Current().Number {
 		r, err := p.Read(ctx, v.Head.Row.Revision)
 		if err != nil {
@@ -109,13 +109,13 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.headCheckedAt = v.Asked
+	p.headCheckedAt = v.RequestedAt
 }
 
-// Heard applies the revision with the given number, which read fetches from a peer,
+// ApplyFromPeer applies the revision with the given number, which read fetches from a peer,
 // if it is newer than the current one. It lets a box receive revisions while it
 // cannot reach the table.
-func (p *Publisher) Heard(number uint64, read func() (config.Revision, error)) {
+func (p *Publisher) ApplyFromPeer(number uint64, read func() (config.Revision, error)) {
 	if number <= p.Current().Number {
 		return
 	}
@@ -127,10 +127,12 @@
 	p.Apply(r)
 }
 
-// NoRevisionError is the error for a revision that does not exist.
-type NoRevisionError struct{ Number uint64 }
+// RevisionNotFoundError is the error for a revision that does not exist.
+type RevisionNotFoundError struct{ Number uint64 }
 
-func (e *NoRevisionError) Error() string { return fmt.Sprintf("there is no revision %d", e.Number) }
+func (e *RevisionNotFoundError) Error() string {
+	return fmt.Sprintf("there is no revision %d", e.Number)
+}
 
 // Read reads an accepted revision from the table.
 func (p *Publisher) Read(ctx context.Context, n uint64) (config.Revision, error) {
@@ -139,7 +141,7 @@
 		return config.Revision{}, err
 	}
 	if !row.Exists() {
-		return config.Revision{}, &NoRevisionError{n}
+		return config.Revision{}, &RevisionNotFoundError{n}
 	}
 	var r config.Revision
 	if err := codec.Unmarshal(row.Value, &r); err != nil {
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -19,8 +19,8 @@
 	Class() config.Class
 	// Account returns the name of the job's account.
 	Account() string
-	// Since returns the time at which the job was queued.
-	Since() time.Time
+	// QueuedAt returns the time at which the job was queued.
+	QueuedAt() time.Time
 }
 
 // Queue holds items until they are removed. It is not safe for concurrent use.
@@ -50,24 +50,24 @@
 	return q
 }
 
-// SetWhole sets the capacity of which dominant shares are computed.
-func (q *Queue[I]) SetWhole(capacity resource.Amount) {
+// SetCapacity sets the capacity of which dominant shares are computed.
+func (q *Queue[I]) SetCapacity(capacity resource.Amount) {
 	q.capacity = capacity
 	for a, used := range q.usage {
-		q.dominantShares[a] = used.Dominant(capacity)
+		q.dominantShares[a] = used.DominantShare(capacity)
 	}
 }
 
-// Used returns the resources allocated to account.
-func (q *Queue[I]) Used(account string) resource.Amount { return q.usage[account] }
+// Usage returns the resources allocated to account.
+func (q *Queue[I]) Usage(account string) resource.Amount { return q.usage[account] }
 
-// Take adds n to the resources allocated to account.
-func (q *Queue[I]) Take(account string, n resource.Amount) {
+// AddUsage adds n to the resources allocated to account.
+func (q *Queue[I]) AddUsage(account string, n resource.Amount) {
 	q.setUsage(account, q.usage[account].Plus(n))
 }
 
-// Give subtracts n from the resources allocated to account.
-func (q *Queue[I]) Give(account string, n resource.Amount) {
+// SubtractUsage subtracts n from the resources allocated to account.
+func (q *Queue[I]) SubtractUsage(account string, n resource.Amount) {
 	q.setUsage(account, q.usage[account].Minus(n))
 }
 
@@ -77,7 +77,7 @@
 		delete(q.dominantShares, account)
 		return
 	}
-	q.usage[account], q.dominantShares[account] = used, used.Dominant(q.capacity)
+	q.usage[account], q.dominantShares[account] = used, used.DominantShare(q.capacity)
 }
 
 // Len returns the number of items.
@@ -91,8 +91,8 @@
 		account = &accountQueue[I]{name: item.Account()}
 		accounts[item.Account()] = account
 	}
-	index, _ := slices.BinarySearchFunc(account.items, item, func(a, b I) int { return a.Since().Compare(b.Since()) })
-	for index < len(account.items) && !account.items[index].Since().After(item.Since()) {
+	index, _ := slices.BinarySearchFunc(account.items, item, func(a, b I) int { return a.QueuedAt().Compare(b.QueuedAt()) })
+	for index < len(account.items) && !account.items[index].QueuedAt().After(item.QueuedAt()) {
 		index++
 	}
 	account.items = slices.Insert(account.items, index, item)
@@ -117,20 +117,20 @@
 	}
 }
 
-// Verdict is the result of offering an item for placement.
-type Verdict int
+// Outcome is the result of offering an item for placement.
+type Outcome int
 
 // The results of an offer.
 const (
-	Placed Verdict = iota // reorder the item's account and offer the item again
-	Parked                // skip the item for the rest of the round
-	Halt                  // end the round
+	Placed  Outcome = iota // reorder the item's account and offer the item again
+	Skipped                // skip the item for the rest of the round
+	Halt                   // end the round
 )
 
 // Round calls offer with items in order until every item is skipped or offer
 // returns Halt. offer may increase the usage of the item's account, which lowers
 // the account's priority. It must not call Add or Remove.
-func (q *Queue[I]) Round(now time.Time, offer func(I) Verdict) {
+func (q *Queue[I]) Round(now time.Time, offer func(I) Outcome) {
 	r := &roundHeap[I]{queue: q}
 	for rank, accounts := range q.classes {
 		for _, account := range accounts {
@@ -143,7 +143,7 @@
 		switch offer(c.account.items[c.next]) {
 		case Halt:
 			return
-		case Parked:
+		case Skipped:
 			c.next++
 		}
 		if c.next >= len(c.account.items) {
@@ -158,7 +158,7 @@
 // effectiveRank returns the rank at which an account's items of a class are
 // ordered: one class higher if its oldest item has waited for the ageing period.
 func (q *Queue[I]) effectiveRank(class int, account *accountQueue[I], now time.Time) int {
-	if q.ageing > 0 && class > 0 && now.Sub(account.items[0].Since()) >= q.ageing {
+	if q.ageing > 0 && class > 0 && now.Sub(account.items[0].QueuedAt()) >= q.ageing {
 		return class - 1
 	}
 	return class
@@ -189,7 +189,7 @@
 	if sa != sb {
 		return sa < sb
 	}
-	ta, tb := a.account.items[a.next].Since(), b.account.items[b.next].Since()
+	ta, tb := a.account.items[a.next].QueuedAt(), b.account.items[b.next].QueuedAt()
 	if !ta.Equal(tb) {
 		return ta.Before(tb)
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -19,7 +19,7 @@
 
 func (i *item) Class() config.Class { return i.class }
 func (i *item) Account() string     { return i.account }
-func (i *item) Since() time.Time    { return i.since }
+func (i *item) QueuedAt() time.Time { return i.since }
 
 var (
 	start    = time.Unix(1_000_000, 0)
@@ -34,9 +34,9 @@
 // them, skipping each.
 func roundOrder(q *Queue[*item], now time.Time) []string {
 	var names []string
-	q.Round(now, func(i *item) Verdict {
+	q.Round(now, func(i *item) Outcome {
 		names = append(names, i.name)
-		return Parked
+		return Skipped
 	})
 	return names
 }
@@ -59,9 +59,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := New[*item](c.ageing)
-			q.SetWhole(capacity)
+			q.SetCapacity(capacity)
 			for a, cpu := range c.used {
-				q.Take(a, resource.Amount{CPU: cpu})
+				q.AddUsage(a, resource.Amount{CPU: cpu})
 			}
 			for _, i := range c.items {
 				q.Add(i)
@@ -77,18 +77,18 @@
 // account whose single job has many tasks.
 func TestRoundDividesCapacityEqually(t *testing.T) {
 	q := New[*item](0)
-	q.SetWhole(capacity)
+	q.SetCapacity(capacity)
 	for i := range 100 {
 		q.Add(newItem(fmt.Sprint("big", i), config.Batch, "big", 0))
 	}
 	q.Add(newItem("small", config.Batch, "small", time.Hour))
 	placed := map[string]int{}
-	q.Round(start, func(i *item) Verdict {
+	q.Round(start, func(i *item) Outcome {
 		if placed["big"]+placed["small"] == 20 {
 			return Halt
 		}
 		placed[i.account]++
-		q.Take(i.account, resource.Amount{CPU: 1000})
+		q.AddUsage(i.account, resource.Amount{CPU: 1000})
 		return Placed
 	})
 	if placed["big"] != 10 || placed["small"] != 10 {
--- a/resource/resource.go
+++ b/resource/resource.go
@@ -57,9 +57,9 @@
 	return a.CPU <= free.CPU && a.Memory <= free.Memory && a.Accelerators <= free.Accelerators
 }
 
-// Lacking returns the first kind of which free has less than a, and whether there
+// Shortage returns the first kind of which free has less than a, and whether there
 // is one.
-func (a Amount) Lacking(free Amount) (Kind, bool) {
+func (a Amount) Shortage(free Amount) (Kind, bool) {
 	switch {
 	case a.CPU > free.CPU:
 		return CPU, true
@@ -77,9 +77,9 @@
 // Valid reports whether a is negative in no dimension.
 func (a Amount) Valid() bool { return a.CPU >= 0 && a.Memory >= 0 && a.Accelerators >= 0 }
 
-// Dominant returns the dominant share of a: its largest fraction of capacity in
+// DominantShare returns the dominant share of a: its largest fraction of capacity in
 // any dimension. It is +Inf if a has a kind of which capacity has none.
-func (a Amount) Dominant(capacity Amount) float64 {
+func (a Amount) DominantShare(capacity Amount) float64 {
 	return max(
 		share(int64(a.CPU), int64(capacity.CPU)),
 		share(int64(a.Memory), int64(capacity.Memory)),
--- a/route/cell_test.go
+++ b/route/cell_test.go
@@ -90,7 +90,7 @@
 	r.tell = func(ctx context.Context, to control.BoxRow, h handoverRequest) (int, error) {
 		return through(l, to, func(other *Router) (int, error) { return other.HandedOver(ctx, h) })
 	}
-	m.SetOwn("u", 1, list)
+	m.SetLocalEndpoints("u", 1, list)
 	l.mu.Lock()
 	l.routers[row.Incarnation] = r
 	others := make([]*Router, 0, len(l.routers))
@@ -102,8 +102,8 @@
 	l.mu.Unlock()
 	m.SetView(context.Background(), control.View{})
 	for _, other := range others {
-		other.members.Introduce(row, time.Now().Add(time.Hour))
-		m.Introduce(other.row, time.Now().Add(time.Hour))
+		other.members.AddPeer(row, time.Now().Add(time.Hour))
+		m.AddPeer(other.row, time.Now().Add(time.Hour))
 	}
 	for _, x := range append(others, r) {
 		x.Refresh()
--- a/route/handover.go
+++ b/route/handover.go
@@ -69,7 +69,7 @@
 			return // it was declared dead long after it was last heard of
 		}
 		if !peer.Alive() {
-			end = peer.Heard.Add(r.longest(e.Service))
+			end = peer.LastResponse.Add(r.longest(e.Service))
 		} else if n, err := r.askFormer(peer.Row, e); err == nil {
 			p.reserve(e.Attempt, n)
 			if n == 0 {
--- a/route/homes.go
+++ b/route/homes.go
@@ -10,7 +10,7 @@
 
 // Refresh works out anew which upstreams have their home here.
 func (r *Router) Refresh() {
-	if !r.members.Settled() {
+	if !r.members.Synced() {
 		return
 	}
 	var boxes []control.Incarnation
--- a/route/opening_test.go
+++ b/route/opening_test.go
@@ -157,7 +157,7 @@
 		}
 		for j, row := range rows {
 			if j != i {
-				r.members.Introduce(row, time.Now().Add(time.Hour))
+				r.members.AddPeer(row, time.Now().Add(time.Hour))
 			}
 		}
 	}
@@ -166,7 +166,7 @@
 		slow[fmt.Sprintf("up-%d", i)] = i < x.slow
 		e := hall.Endpoint{Service: "s", Attempt: fmt.Sprintf("up-%d", i), Slots: openSlots, MaxConns: openSlots}
 		for _, r := range routers {
-			r.members.SetOwn(e.Attempt, 1, []hall.Endpoint{e})
+			r.members.SetLocalEndpoints(e.Attempt, 1, []hall.Endpoint{e})
 		}
 	}
 	for _, r := range routers {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -47,7 +47,7 @@
 		list = append(list, hall.Endpoint{Service: "s", Attempt: fmt.Sprint("a", i), Address: a, Slots: 1, MaxConns: 1})
 	}
 	m.SetView(t.Context(), control.View{})
-	m.SetOwn("u", 1, list)
+	m.SetLocalEndpoints("u", 1, list)
 	b.Refresh()
 	return b
 }
--- a/route/router.go
+++ b/route/router.go
@@ -232,7 +232,7 @@
 	slots := r.slots[service]
 	r.mu.Unlock()
 	var homes []member.PeerLoad
-	for _, p := range r.members.LoadsOf(service) {
+	for _, p := range r.members.ServiceLoads(service) {
 		if p.Load.Slots = slots[p.Row.Incarnation]; p.Load.Slots > 0 {
 			homes = append(homes, p)
 		}
--- a/standin/witness.go
+++ b/standin/witness.go
@@ -54,7 +54,7 @@
 }
 
 func (w *Witness) used(worker provider.Worker, sum resource.Amount) {
-	kind, over := sum.Lacking(worker.Capacity)
+	kind, over := sum.Shortage(worker.Capacity)
 	if !over {
 		return
 	}
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -43,9 +43,9 @@
 	return c.last
 }
 
-// Seen advances c to a timestamp received from another box, so that later
+// Update advances c to a timestamp received from another box, so that later
 // timestamps of c are greater.
-func (c *Clock) Seen(s Stamp) {
+func (c *Clock) Update(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.Compare(c.last) > 0 {
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -11,10 +11,10 @@
 func TestMergeOrdersCauseBeforeEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fast, slow := &Clock{}, &Clock{}
-		fast.Seen(Stamp{Wall: time.Now().Add(time.Minute).UnixNano()}) // one minute fast
+		fast.Update(Stamp{Wall: time.Now().Add(time.Minute).UnixNano()}) // one minute fast
 		causes, effects := NewRing("fast", fast, 10), NewRing("slow", slow, 10)
 		causes.Add(Event{Kind: TaskPlaced})
-		slow.Seen(fast.Now()) // timestamp of the message that carries the cause
+		slow.Update(fast.Now()) // timestamp of the message that carries the cause
 		effects.Add(Event{Kind: TaskStarted})
 		got := Merge(effects.Read(Filter{}), causes.Read(Filter{})).Events
 		if len(got) != 2 || got[0].Kind != TaskPlaced || got[1].Kind != TaskStarted {
--- a/tool/look.go
+++ b/tool/look.go
@@ -212,11 +212,11 @@
 
 // Execute implements flags.Commander.
 func (k *keysCommand) Execute([]string) error {
-	if err := keys.NewAuthority(k.Dir); err != nil {
+	if err := keys.EnsureAuthority(k.Dir); err != nil {
 		return err
 	}
 	for _, name := range k.Args.Boxes {
-		if err := keys.NewBox(k.Dir, name); err != nil {
+		if err := keys.NewBoxCertificate(k.Dir, name); err != nil {
 			return err
 		}
 		fmt.Fprintln(out, filepath.Join(k.Dir, name+".pem"))
--- a/tool/summary.go
+++ b/tool/summary.go
@@ -93,7 +93,7 @@
 	fmt.Fprintln(out, "\npacking, of services that stay")
 	for _, u := range s.Units {
 		fmt.Fprintf(out, "  %-12s %5.1f%% of the dominant resource in use on %d workers\n",
-			u.Unit, 100*u.Used.Dominant(u.Capacity), u.Workers)
+			u.Unit, 100*u.Used.DominantShare(u.Capacity), u.Workers)
 		placed += u.Placed
 	}
 	const percent = 100
