--- a/scheduler/calls.go
+++ b/scheduler/calls.go
@@ -16,7 +16,7 @@
 	RetryAfter time.Duration
 }
 
-func (e *RejectedError) Error() string { return "job not accepted: " + e.Reason }
+func (e *RejectedError) Error() string { return "not taken: " + e.Reason }
 
 // UnknownJobError reports that no job has the ID, or that it belongs to another account.
 type UnknownJobError struct{ ID string }
@@ -27,7 +27,7 @@
 // still take effect.
 type UnconfirmedError struct{ Cause error }
 
-func (e *UnconfirmedError) Error() string { return fmt.Sprintf("change not confirmed: %v", e.Cause) }
+func (e *UnconfirmedError) Error() string { return fmt.Sprintf("not confirmed: %v", e.Cause) }
 
 func (e *UnconfirmedError) Unwrap() error { return e.Cause }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -183,7 +183,7 @@
 // DeposedError reports that the term has ended and why.
 type DeposedError struct{ Reason string }
 
-func (e *DeposedError) Error() string { return "term ended: " + e.Reason }
+func (e *DeposedError) Error() string { return "the term is over: " + e.Reason }
 
 // deposeLocked ends the term, unless it has ended already. The lock is held.
 func (s *Scheduler) deposeLocked(reason string) {
