--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -29,9 +29,9 @@
 	// expectedStartDelay is the usual delay from a placement decision until the start reaches
 	// the worker.
 	expectedStartDelay = 40 * time.Millisecond
-	// urgentRecheckInterval and otherRecheckInterval are the delays before a step that had no workers to
-	// ask about is examined again. The shorter one applies to the urgentSteps most urgent
-	// steps, which are placed first.
+	// urgentRecheckInterval and otherRecheckInterval are the delays before a step that had no
+	// workers to ask about is examined again. The shorter one applies to the urgentSteps most
+	// urgent steps, which are placed first.
 	urgentRecheckInterval = 40 * time.Millisecond
 	otherRecheckInterval  = 160 * time.Millisecond
 	urgentSteps           = 32
@@ -41,7 +41,8 @@
 	eligibleShareWeight  = 0.1
 )
 
-// eachEligibleWorker calls f for each worker that the step may run on now, regardless of free capacity.
+// eachEligibleWorker calls f for each worker that the step may run on now, regardless of free
+// capacity.
 func (st *step) eachEligibleWorker(p *pass, f func(*worker)) {
 	if !st.job.record.Queue.Advice.Enabled() {
 		for _, w := range p.pools[st.job.record.Queue.Service] {
@@ -104,14 +105,14 @@
 // node can take the call.
 func (s *Scheduler) startAdviceCall(st *step, named []*worker, now time.Time) bool {
 	cost := st.job.record.Queue.Advice.Latency(len(named))
-	l := s.chooseAdviceNode(cost, now)
-	if l == nil {
+	node := s.chooseAdviceNode(cost, now)
+	if node == nil {
 		return false
 	}
 	st.advice.callsInFlight++
-	l.callStarted(cost)
-	name, advisor := st.stepName(), l.Advisor
-	s.running.Go(func() { s.fetchAdvice(st, l, advisor, name, named, cost) })
+	node.callStarted(cost)
+	name, advisor := st.stepName(), node.Advisor
+	s.running.Go(func() { s.fetchAdvice(st, node, advisor, name, named, cost) })
 	return true
 }
 
@@ -327,9 +328,9 @@
 	return initialEligibleShare
 }
 
-func (s *Scheduler) fetchAdvice(st *step, l *adviceNode, advisor fleet.Advisor, name string, named []*worker, cost time.Duration) {
+func (s *Scheduler) fetchAdvice(st *step, node *adviceNode, advisor fleet.Advisor, name string, named []*worker, cost time.Duration) {
 	s.mu.Lock()
-	limit := l.timeout(cost) + s.latenessAllowance()
+	limit := node.timeout(cost) + s.latenessAllowance()
 	ids := make([]string, 0, len(named))
 	for _, w := range named {
 		ids = append(ids, w.info.ID)
@@ -343,13 +344,13 @@
 	s.metrics.advice(now.Sub(begun), err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.callEnded(cost)
+	node.callEnded(cost)
 	st.advice.callsInFlight--
 	if err != nil {
 		if s.ctx.Err() == nil {
-			s.log.Warn().Str("job", st.job.id).Str("step", name).Str("lane", l.Node).Err(err).Msg("no advice")
+			s.log.Warn().Str("job", st.job.id).Str("step", name).Str("lane", node.Node).Err(err).Msg("no advice")
 		}
-		l.pausedUntil = now.Add(adviceFailurePause)
+		node.pausedUntil = now.Add(adviceFailurePause)
 	} else {
 		s.recordAdvice(st, named, advice, now)
 	}
--- a/scheduler/lane.go
+++ b/scheduler/advice_node.go
@@ -45,16 +45,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	former := map[string]*adviceNode{}
-	for _, l := range s.adviceNodes {
-		former[l.Node] = l
+	for _, node := range s.adviceNodes {
+		former[node.Node] = node
 	}
 	s.adviceNodes = nil
-	for _, l := range list {
-		if old := former[l.Node]; old != nil {
-			old.AdviceNode = l
+	for _, node := range list {
+		if old := former[node.Node]; old != nil {
+			old.AdviceNode = node
 			s.adviceNodes = append(s.adviceNodes, old)
 		} else {
-			s.adviceNodes = append(s.adviceNodes, &adviceNode{AdviceNode: l})
+			s.adviceNodes = append(s.adviceNodes, &adviceNode{AdviceNode: node})
 		}
 	}
 	wake(s.dispatchWake)
@@ -67,18 +67,18 @@
 	}
 	remote := s.availableRemoteNodes(now)
 	var best *adviceNode
-	for _, l := range s.adviceNodes {
-		if now.Before(l.pausedUntil) {
+	for _, node := range s.adviceNodes {
+		if now.Before(node.pausedUntil) {
 			continue
 		}
-		if l.Self && cost > maxCheapCost && remote > 0 {
+		if node.Self && cost > maxCheapCost && remote > 0 {
 			continue // reserved for cheap calls
 		}
-		if l.pendingCost > maxPendingCost && l.pendingCost+cost > maxCheapCost*2 {
+		if node.pendingCost > maxPendingCost && node.pendingCost+cost > maxCheapCost*2 {
 			continue
 		}
-		if best == nil || l.rank(cost) < best.rank(cost) {
-			best = l
+		if best == nil || node.rank(cost) < best.rank(cost) {
+			best = node
 		}
 	}
 	return best
@@ -87,8 +87,8 @@
 // availableRemoteNodes counts the remote nodes that are not paused.
 func (s *Scheduler) availableRemoteNodes(now time.Time) int {
 	remote := 0
-	for _, l := range s.adviceNodes {
-		if !l.Self && now.After(l.pausedUntil) {
+	for _, node := range s.adviceNodes {
+		if !node.Self && now.After(node.pausedUntil) {
 			remote++
 		}
 	}
@@ -98,8 +98,8 @@
 // allowsCostlyCall reports whether another expensive call leaves enough nodes for cheap ones.
 func (s *Scheduler) allowsCostlyCall(now time.Time) bool {
 	costly := 0
-	for _, l := range s.adviceNodes {
-		if !l.Self && l.hasCostlyCall && now.After(l.pausedUntil) {
+	for _, node := range s.adviceNodes {
+		if !node.Self && node.hasCostlyCall && now.After(node.pausedUntil) {
 			costly++
 		}
 	}
@@ -109,31 +109,31 @@
 
 // rank orders nodes for a call, lowest first: by pending cost, with the owner's own node
 // preferred for cheap calls.
-func (l *adviceNode) rank(cost time.Duration) time.Duration {
-	rank := l.pendingCost
-	if !l.Self && cost <= maxCheapCost {
+func (n *adviceNode) rank(cost time.Duration) time.Duration {
+	rank := n.pendingCost
+	if !n.Self && cost <= maxCheapCost {
 		rank += maxCheapCost / 2
 	}
 	return rank
 }
 
 // timeout returns how long a call of the given cost may take.
-func (l *adviceNode) timeout(cost time.Duration) time.Duration {
+func (n *adviceNode) timeout(cost time.Duration) time.Duration {
 	if cost <= maxCheapCost {
-		return l.pendingCost + cost/2 + cheapCallSlack
+		return n.pendingCost + cost/2 + cheapCallSlack
 	}
-	return l.pendingCost + cost/2 + costlyCallSlack
+	return n.pendingCost + cost/2 + costlyCallSlack
 }
 
 // callStarted records a call in flight, and callEnded its end.
-func (l *adviceNode) callStarted(cost time.Duration) {
-	l.pendingCost += cost
-	l.hasCostlyCall = l.hasCostlyCall || cost > maxCheapCost
+func (n *adviceNode) callStarted(cost time.Duration) {
+	n.pendingCost += cost
+	n.hasCostlyCall = n.hasCostlyCall || cost > maxCheapCost
 }
 
-func (l *adviceNode) callEnded(cost time.Duration) {
-	l.pendingCost -= cost
+func (n *adviceNode) callEnded(cost time.Duration) {
+	n.pendingCost -= cost
 	if cost > maxCheapCost {
-		l.hasCostlyCall = false
+		n.hasCostlyCall = false
 	}
 }
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -156,11 +156,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s.ctx = ctx
 		var advisor hangingAdvisor
-		lanes := []AdviceNode{{Node: "self", Self: true, Advisor: &advisor}}
+		nodes := []AdviceNode{{Node: "self", Self: true, Advisor: &advisor}}
 		for i := range 40 {
-			lanes = append(lanes, AdviceNode{Node: fmt.Sprintf("node-%d", i), Advisor: &advisor})
+			nodes = append(nodes, AdviceNode{Node: fmt.Sprintf("node-%d", i), Advisor: &advisor})
 		}
-		s.SetAdviceNodes(lanes)
+		s.SetAdviceNodes(nodes)
 		st := c.step
 		st.spec.Gang, st.spec.Count = true, 240
 		for i := len(st.tasks); i < st.spec.Count; i++ {
@@ -186,7 +186,8 @@
 	})
 }
 
-// BenchmarkAdviceQuery measures the selection of workers to query for one step among 1,100 full ones.
+// BenchmarkAdviceQuery measures the selection of workers to query for one step among 1,100 full
+// ones.
 func BenchmarkAdviceQuery(b *testing.B) {
 	s, p, c := newAdvisedStep(b, func(int) resource.Amount { return resource.Amount{CPU: 15_000} })
 	b.ReportAllocs()
--- a/scheduler/answers_test.go
+++ b/scheduler/answers_test.go
@@ -39,7 +39,8 @@
 	return list
 }
 
-// recordCalls records a number of calls, of which every nth had no answer; if nth is 0, all had one.
+// recordCalls records a number of calls, of which every nth had no answer; if nth is 0, all had
+// one.
 func recordCalls(a *callStats, calls, nth int) {
 	for i := range calls {
 		a.addResult(nth == 0 || (i+1)%nth != 0)
@@ -85,14 +86,14 @@
 	s.lateness = func() time.Duration { return late }
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	patience := s.latenessAllowance()
+	allowance := s.latenessAllowance()
 	late = 30 * time.Millisecond
 	for range 100 {
 		s.recordCallResult(false)
 	}
 	assertLossy(t, s.answers, false)
-	if got := s.latenessAllowance(); got <= patience || got < 100*time.Millisecond {
-		t.Errorf("a late owner waits %v longer for answers, want 100ms or more and above %v", got, patience)
+	if got := s.latenessAllowance(); got <= allowance || got < 100*time.Millisecond {
+		t.Errorf("a late owner waits %v longer for answers, want 100ms or more and above %v", got, allowance)
 	}
 	late = 0
 	for range 100 {
--- a/scheduler/preempt_test.go
+++ b/scheduler/preempt_test.go
@@ -119,20 +119,21 @@
 	return a.Advisor.Advise(ctx, step, workers)
 }
 
-// Expensive advice calls do not occupy all lanes, so that cheap calls for urgent jobs are not delayed.
+// Expensive advice calls do not occupy all advice nodes, so that cheap calls for urgent jobs are
+// not delayed.
 func TestExpensiveAdviceCallsDoNotDelayCheapOnes(t *testing.T) {
 	const (
 		costlyCall = 800 * time.Millisecond
-		cheapCalls = 60 // more than the local lane alone can serve in time
+		cheapCalls = 60 // more than the local node alone can serve in time
 	)
 	withCell(t, 8, func(c *cell) {
 		o := c.startOwner()
-		var lanes []scheduler.AdviceNode
+		var nodes []scheduler.AdviceNode
 		for i := range 5 {
 			advisor := &slowAdvisor{Advisor: c.fleet, slot: make(chan struct{}, 1), slowPrefix: "costly", delay: costlyCall}
-			lanes = append(lanes, scheduler.AdviceNode{Node: fmt.Sprintf("lane-%d", i), Self: i == 0, Advisor: advisor})
+			nodes = append(nodes, scheduler.AdviceNode{Node: fmt.Sprintf("node-%d", i), Self: i == 0, Advisor: advisor})
 		}
-		o.SetAdviceNodes(lanes)
+		o.SetAdviceNodes(nodes)
 		costly := workload.Queue{
 			Name: "diagnostics-2", Service: testService, Priority: 1, MaxFailures: 3, ObjectiveFactor: 10, ObjectiveOffset: time.Second,
 			Advice: workload.AdvicePolicy{CallLatency: costlyCall, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second},
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -156,7 +156,7 @@
 		}
 		var notJob *scheduler.UnknownJobError
 		if err := o.Cancel(c.ctx, "other"); !errors.As(err, &notJob) {
-			t.Errorf("Cancel of an unknown job: got %v, want NotJobError", err)
+			t.Errorf("Cancel of an unknown job: got %v, want UnknownJobError", err)
 		}
 	})
 }
@@ -310,7 +310,7 @@
 		time.Sleep(time.Minute)
 		var notJob *scheduler.UnknownJobError
 		if _, err := o.State(c.ctx, "job"); !errors.As(err, &notJob) {
-			t.Errorf("State after the retention time: got %v, want NotJobError", err)
+			t.Errorf("State after the retention time: got %v, want UnknownJobError", err)
 		}
 		if _, ok := c.store.Row(rowstore.Key{Table: "progress", Partition: testShard, Name: "job"}); ok {
 			t.Error("progress row of the expired job is still in the store")
@@ -318,8 +318,8 @@
 	})
 }
 
-// Guards against data races between SetLanes and calls for advice.
-func TestSetLanesDuringAdviceCalls(t *testing.T) {
+// Guards against data races between SetAdviceNodes and calls for advice.
+func TestSetAdviceNodesDuringAdviceCalls(t *testing.T) {
 	withCell(t, 9, func(c *cell) {
 		c.queue.Advice = workload.AdvicePolicy{CallLatency: 5 * time.Millisecond, PerWorkerLatency: time.Millisecond, TicketTTL: 2 * time.Second}
 		o := c.startOwner()
