--- a/scheduler/account.go
+++ b/scheduler/account.go
@@ -22,9 +22,9 @@
 	used         resource.Amount
 	placedTasks  map[*task]struct{}
 	rejectedJobs int // jobs rejected because they could never fit the quota
-	// meter decides which jobs exceed the account's weight; excessJobs counts these.
-	meter      fairness.Meter
-	excessJobs int
+	// meter decides which jobs are over the account's share; overShareJobs counts these.
+	meter         fairness.Meter
+	overShareJobs int
 }
 
 func newAccountState(terms account.Terms) *accountState {
@@ -88,8 +88,8 @@
 	Waiting int `json:"waiting"`
 	Held    int `json:"held"`
 	Refused int `json:"refused_for_quota"`
-	// Beyond counts the jobs that exceeded the account's weight.
-	Beyond int `json:"beyond_weight"`
+	// OverShare counts the jobs over the account's share.
+	OverShare int `json:"beyond_weight"`
 }
 
 // maxListedAccounts limits the accounts returned by AccountUsage.
@@ -114,7 +114,7 @@
 	for _, a := range states[:min(len(states), maxListedAccounts)] {
 		list = append(list, AccountUsage{
 			Account: a.terms.Name, Used: a.used.String(), Quota: resource.Amount(a.terms.Quota).String(),
-			Waiting: waiting[a], Held: held[a], Refused: a.rejectedJobs, Beyond: a.excessJobs,
+			Waiting: waiting[a], Held: held[a], Refused: a.rejectedJobs, OverShare: a.overShareJobs,
 		})
 	}
 	return list
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// BenchmarkDispatchAfterFree measures a pass after some capacity was freed on every worker, but
-// not enough for any task: each step is tried again and may look for tasks to preempt.
+// BenchmarkDispatchAfterFree measures a dispatch pass after some capacity was freed on every
+// worker, but not enough for any task: each step is tried again and may search for tasks to
+// preempt.
 func BenchmarkDispatchAfterFree(b *testing.B) {
 	for _, jobs := range []int{100, 500} {
 		b.Run(fmt.Sprintf("%d jobs", jobs), func(b *testing.B) {
@@ -40,7 +41,7 @@
 			for b.Loop() {
 				s.mu.Lock()
 				for _, w := range s.workers {
-					w.roomFreed = true
+					w.capacityFreed = true
 				}
 				s.dispatch(now)
 				s.mu.Unlock()
--- a/scheduler/bundle_test.go
+++ b/scheduler/bundle_test.go
@@ -19,7 +19,7 @@
 	return len(all.Rows)
 }
 
-// While the store is slow, changes beyond the capacity of one transaction are written as bundles.
+// While the store is slow, changes above the capacity of one transaction are written as bundles.
 // A successor loads them, and they are removed once the backlog is cleared.
 func TestBundlesWithSlowStore(t *testing.T) {
 	const jobs = 300
--- a/scheduler/commit.go
+++ b/scheduler/commit.go
@@ -52,7 +52,7 @@
 // to confirm its term.
 const idleCommitInterval = 250 * time.Millisecond
 
-// markDirty records a markDirty of a job and queues the job for the next transaction. The lock
+// markDirty records a change of a job and queues the job for the next transaction. The lock
 // is held.
 func (s *Scheduler) markDirty(j *job) {
 	j.generation++
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -10,8 +10,8 @@
 // Detection of tasks that crash their workers. A worker that has ended reports nothing about its
 // attempts, so the owner counts the workers that ended while a task ran there (workload.Crashes). A
 // lost worker is first only known not to have answered until its lease expired. Later either the
-// same life answers again, or another life answers at its address, or discovery no longer lists it;
-// only the last two count as an end. The job of a task with too many is failed.
+// same incarnation answers again, or another answers at its address, or discovery no longer lists
+// it; only the last two count as an end. The job of a task with too many is failed.
 
 const (
 	// settleTime is how long an attempt must have run for the end of its worker not to be
@@ -177,8 +177,8 @@
 	s.finish(t.step.job, workload.Failed, "workers have ended under its task "+t.id().String())
 }
 
-// clearListedWorkers treats unresponsive workers as alive if discovery has continued to list them. The
-// caller must hold s.mu.
+// clearListedWorkers treats unresponsive workers as alive if discovery has continued to list them.
+// The caller must hold s.mu.
 func (s *Scheduler) clearListedWorkers(now time.Time) {
 	if since := s.term.FailingSince(); !since.IsZero() || now.Sub(s.term.RestoredAt()) < listedAliveDelay {
 		return // the list may be outdated
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -53,7 +53,7 @@
 // maxBlockingGangs is the maximum number of waiting gangs for which workers are kept free.
 const maxBlockingGangs = 3
 
-// dispatch runs one pass: it places waiting tasks in order of urgency, and requests
+// dispatch runs a dispatch pass: it places waiting tasks in order of urgency, and requests
 // advice for steps with tasks left. The lock is held.
 func (s *Scheduler) dispatch(now time.Time) {
 	if s.paused || s.ctx == nil || s.ctx.Err() != nil {
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -18,7 +18,7 @@
 // over, that is, if one of these holds:
 //   - the worker's report listed its end;
 //   - the worker confirmed a stop, and a later report did not list the attempt;
-//   - a later life of the worker answered;
+//   - a later incarnation of the worker answered;
 //   - the worker's lease has expired since the last call that could have
 //     extended it.
 //
--- a/scheduler/fairness.go
+++ b/scheduler/fairness.go
@@ -10,7 +10,7 @@
 	a := j.account
 	a.meter, j.overShare = a.meter.WithJob(a.terms.Weight, j.arrived)
 	if j.overShare {
-		a.excessJobs++
+		a.overShareJobs++
 	}
 }
 
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -61,7 +61,7 @@
 
 // trusts reports whether the worker's reliability permits placing a task on it.
 func (p *pass) trusts(w *worker, precious bool) bool {
-	if w.standing == reliability.Healthy || p.sparing[w.info.Service].tooManyAvoided() {
+	if w.standing == reliability.Healthy || p.standingCounts[w.info.Service].tooManyAvoided() {
 		return true // fast path: checked for each worker and step
 	}
 	return w.standing.Accepts(reliability.Task{Critical: precious, Colocated: len(w.tasks)})
--- a/scheduler/hold.go
+++ b/scheduler/hold.go
@@ -14,8 +14,8 @@
 	holdWait = time.Second
 	// holdGrace is added to the long-poll timeout to get the timeout of the call.
 	holdGrace = 400 * time.Millisecond
-	// holdRetryDelay is the delay after a failed call, and persistTimeout the longest delay after a call
-	// that reported ends, to have them stored.
+	// holdRetryDelay is the delay after a failed call, and persistTimeout the longest delay after a
+	// call that reported ends, to have them stored.
 	holdRetryDelay = 200 * time.Millisecond
 	persistTimeout = 300 * time.Millisecond
 	// finalExtensionMargin is how long before an owner must stop extending leases it extends them
@@ -35,8 +35,8 @@
 	clockSlack = 200 * time.Millisecond
 )
 
-// pollWorker polls a worker until its life ends or ctx is cancelled. The first call waits for a
-// slot, because a takeover opens new connections to all workers at once.
+// pollWorker polls a worker until its incarnation ends or ctx is cancelled. The first call waits
+// for a slot, because a takeover opens new connections to all workers at once.
 func (s *Scheduler) pollWorker(ctx context.Context, w *worker, slot callSlot) {
 	if s.firstCalls.acquire(ctx, slot) != nil {
 		return
@@ -163,7 +163,7 @@
 	return holdRetryDelay
 }
 
-// handleHoldFailure processes a failed call and reports whether the worker's life has ended.
+// handleHoldFailure processes a failed call and reports whether the worker's incarnation has ended.
 func (s *Scheduler) handleHoldFailure(w *worker, order fleet.HoldOrder, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 	var replaced *fleet.ReplacedError
 	if errors.As(err, &replaced) {
-		s.endLife(w, "another life answers at its address")
+		s.endIncarnation(w, "another incarnation answers at its address")
 		return true
 	}
 	s.markTokenStale(w.info.ID)
@@ -188,16 +188,16 @@
 	if time.Now().After(w.leaseExpiry) {
 		s.expireAttempts(w, "lease expired")
 		if !w.discovered {
-			s.endLife(w, "removed from discovery, and its lease has expired")
+			s.endIncarnation(w, "removed from discovery, and its lease has expired")
 			return true
 		}
 	}
 	return false
 }
 
-// expireAttempts ends every attempt on a worker whose lease has expired or whose life has ended.
-// Ending a gang member cancels other granted members, so each attempt is checked again. The caller
-// must hold s.mu.
+// expireAttempts ends every attempt on a worker whose lease has expired or whose incarnation has
+// ended. Ending a gang member cancels other granted members, so each attempt is checked again. The
+// caller must hold s.mu.
 func (s *Scheduler) expireAttempts(w *worker, why string) {
 	for _, t := range w.taskList() {
 		if t.worker == w {
@@ -207,22 +207,22 @@
 	}
 }
 
-// endLife ends all attempts on a worker and removes it. The caller must hold s.mu.
-func (s *Scheduler) endLife(w *worker, why string) {
+// endIncarnation ends all attempts on a worker and removes it. The caller must hold s.mu.
+func (s *Scheduler) endIncarnation(w *worker, why string) {
 	if w.ended {
 		return
 	}
 	w.ended = true
 	s.expireAttempts(w, why)
 	s.log.Info().Str("worker", w.info.ID).Str("why", why).Strs("lost", attemptNames(w.lostAttempts)).Bool("leaving", w.leaving).
-		Dur("silent", time.Since(w.lastReportAt)).Msg("worker life ended")
+		Dur("silent", time.Since(w.lastReportAt)).Msg("worker incarnation ended")
 	s.countLost(w)
 	if w.cancel != nil {
 		w.cancel()
 	}
-	s.removeLife(w)
+	s.removeIncarnation(w)
 	if w.discovered && !s.sharesDiscoveryEntry(w) {
-		s.endedLives[w.discoveredLife] = true
+		s.endedIncarnations[w.discoveredIncarnation] = true
 	}
 	wake(s.dispatchWake)
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -81,7 +81,7 @@
 	// mayPreempt is whether the last pass allowed the step to preempt other tasks.
 	lastFullPass uint64
 	mayPreempt   bool
-	// reserved are the workers with capacity reserved for the step until roomUntil.
+	// reserved are the workers with capacity reserved for the step until reservedUntil.
 	reserved      []*worker
 	reservedUntil time.Time
 	// suspected is whether a task of the step may have crashed its worker, and passed
@@ -150,7 +150,7 @@
 	id        string
 	record    workload.Record
 	account   *accountState
-	overShare bool // it exceeds its account's fair share
+	overShare bool // it is over its account's share
 	hosted    int  // tasks that occupy capacity on workers
 	// idleSince is when its last task left its worker, initially its arrival.
 	idleSince  time.Time
@@ -343,9 +343,9 @@
 	return sp, sp.Done != nil || sp.Tasks != nil
 }
 
-// restore applies stored progress to a new job. hosts returns the worker for a life,
+// restore applies stored progress to a new job. hosts returns the worker for an incarnation,
 // creating it if necessary.
-func (j *job) restore(p workload.Progress, hosts func(life fleet.Incarnation, address string) *worker) {
+func (j *job) restore(p workload.Progress, hosts func(incarnation fleet.Incarnation, address string) *worker) {
 	j.state, j.savedState, j.started, j.finalAt = p.State, p.State, p.Started, p.FinalAt
 	j.generation, j.saved = max(1, p.Generation), max(1, p.Generation)
 	for _, sp := range p.Steps {
@@ -356,7 +356,7 @@
 	}
 }
 
-func (st *step) restore(sp workload.StepProgress, hosts func(life fleet.Incarnation, address string) *worker) {
+func (st *step) restore(sp workload.StepProgress, hosts func(incarnation fleet.Incarnation, address string) *worker) {
 	for _, t := range st.tasks {
 		if sp.AllDone || workload.HasBit(sp.Done, t.index) {
 			t.markDone()
--- a/scheduler/late_report_test.go
+++ b/scheduler/late_report_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	s := New(Config{Shard: "main", Lease: time.Second}, memory.New(), nil, term, NewMetrics(), zerolog.Nop())
-	w := s.addLife(fleet.Worker{Incarnation: fleet.Incarnation{ID: "w", StartTime: 1}, Service: "s"})
+	w := s.addIncarnation(fleet.Worker{Incarnation: fleet.Incarnation{ID: "w", StartTime: 1}, Service: "s"})
 	queue := workload.Queue{Name: "q", Service: "s", MaxFailures: 3}
 	request := workload.Request{Steps: []workload.Step{{Count: tasks}}}
 	j := newJob("job", workload.Record{Request: request, Queue: queue}, s.accountOf(account.Terms{}), time.Now())
--- a/scheduler/load.go
+++ b/scheduler/load.go
@@ -121,14 +121,14 @@
 	}
 }
 
-// findOrAddWorker returns a life of a worker, adding it if discovery has not listed it yet. Until
-// then the worker is called at its stored address: reading the workers of a large deployment takes
-// long, and clients wait for the results on this one.
-func (s *Scheduler) findOrAddWorker(life fleet.Incarnation, address string) *worker {
-	life = s.resolveLife(life)
-	w := s.workers[life]
+// findOrAddWorker returns an incarnation of a worker, adding it if discovery has not listed it yet.
+// Until then the worker is called at its stored address: reading the workers of a large deployment
+// takes long, and clients wait for the results on this one.
+func (s *Scheduler) findOrAddWorker(incarnation fleet.Incarnation, address string) *worker {
+	incarnation = s.resolveIncarnation(incarnation)
+	w := s.workers[incarnation]
 	if w == nil {
-		w = s.addLife(fleet.Worker{Incarnation: life})
+		w = s.addIncarnation(fleet.Worker{Incarnation: incarnation})
 	}
 	if w.info.Address == "" {
 		w.info.Address = address
@@ -141,7 +141,7 @@
 func (s *Scheduler) expireUnreached(now time.Time) {
 	for _, w := range s.workers {
 		if w.cancel == nil && !w.discovered && now.After(w.leaseExpiry) {
-			s.endLife(w, "never reached, and its lease has expired")
+			s.endIncarnation(w, "never reached, and its lease has expired")
 		}
 	}
 }
--- a/scheduler/order.go
+++ b/scheduler/order.go
@@ -114,13 +114,13 @@
 
 // startResult is the result of one start call.
 type startResult struct {
-	life      fleet.Incarnation // the life the call was addressed to
-	token     uint64
-	clock     fleet.Clock
-	err       error
-	took      time.Duration
-	expiry    time.Time // when the order expires
-	uncertain bool      // an earlier unanswered call may have started the attempt
+	incarnation fleet.Incarnation // the incarnation the call was addressed to
+	token       uint64
+	clock       fleet.Clock
+	err         error
+	took        time.Duration
+	expiry      time.Time // when the order expires
+	uncertain   bool      // an earlier unanswered call may have started the attempt
 }
 
 // handleStartResult processes the result of a start call and reports whether no further
@@ -142,7 +142,7 @@
 		t.startSent = false // until the next call is sent
 	}
 	if err == nil {
-		w.observeLifeClock(result.life, result.clock, now)
+		w.observeIncarnationClock(result.incarnation, result.clock, now)
 		if t.state == taskStarting {
 			s.markRunning(t, now)
 		}
@@ -155,10 +155,10 @@
 	)
 	switch {
 	case errors.As(err, &refused):
-		w.observeLifeClock(result.life, refused.Clock, now)
+		w.observeIncarnationClock(result.incarnation, refused.Clock, now)
 		s.handleStartRefusal(t, refused.Reason, result)
 	case errors.As(err, &replaced):
-		s.endLife(w, "another life answers at its address")
+		s.endIncarnation(w, "another incarnation answers at its address")
 	case errors.As(err, &busy):
 		w.blockedUntil = now.Add(refusalBackoff)
 		s.rejectStart(t, "busy", result.uncertain)
@@ -316,15 +316,15 @@
 	case errors.As(err, &refused) && refused.Reason == fleet.Fenced:
 		return s.handleFenced(w, order.Token)
 	case errors.As(err, &replaced):
-		s.endLife(w, "another life answers at its address")
+		s.endIncarnation(w, "another incarnation answers at its address")
 		return true
 	}
 	return false
 }
 
-// handleFenced handles the refusal of a call by a worker that has seen a higher fencing token. It ends
-// the term and reports true, unless this owner itself has since used a higher token for the
-// worker's ID or the worker is over. The lock is held.
+// handleFenced handles the refusal of a call by a worker that has seen a higher fencing token. It
+// ends the term and reports true, unless this owner itself has since used a higher token for the
+// worker's ID or the worker has ended. The lock is held.
 func (s *Scheduler) handleFenced(w *worker, token uint64) bool {
 	if w.ended || token < s.tokenOf(w.info.ID) {
 		return false
--- a/scheduler/pass.go
+++ b/scheduler/pass.go
@@ -11,7 +11,7 @@
 	"chutereach/urgency"
 )
 
-// pass is the state of one scheduling pass, which tries to place all waiting steps once.
+// pass is the state of one dispatch pass, which tries to place all waiting steps once.
 type pass struct {
 	now             time.Time
 	workerTimes     WorkerTimes
@@ -23,9 +23,9 @@
 	includeUnlisted bool                      // unlisted workers may still be alive
 	blockingGangs   int                       // waiting gangs with blocked workers
 	withheld        bool                      // a worker was withheld from the current candidate
-	waitingGangs    []*step                   // gangs that patient steps defer to
+	waitingGangs    []*step                   // gangs that steps may defer to
 	headroom        map[string]headroom.Slots // by service
-	sparing         map[string]poolCounts     // by service
+	standingCounts  map[string]poolCounts     // by service
 	// quotaReservedFor is the gang that the rest of an account's quota is reserved for.
 	quotaReservedFor map[*accountState]*step
 	// quotaPreemptionTried holds the accounts whose own tasks were considered for preemption.
@@ -37,7 +37,7 @@
 func newPass(now time.Time, serial uint64, includeUnlisted bool, times WorkerTimes, halls evacuation.View) *pass {
 	return &pass{
 		now: now, serial: serial, includeUnlisted: includeUnlisted, workerTimes: times, halls: halls, pools: map[string][]*worker{}, lastGrowth: map[string]uint64{},
-		headroom: map[string]headroom.Slots{}, blocked: map[*worker]bool{}, sparing: map[string]poolCounts{}, quotaReservedFor: map[*accountState]*step{},
+		headroom: map[string]headroom.Slots{}, blocked: map[*worker]bool{}, standingCounts: map[string]poolCounts{}, quotaReservedFor: map[*accountState]*step{},
 		quotaPreemptionTried: map[*accountState]bool{},
 	}
 }
@@ -47,10 +47,10 @@
 	usable := w.usable(p.now, p.includeUnlisted) && !p.halls.Contains(w.info.Zone)
 	former := w.standing
 	w.standing = w.health.reliability.Standing(p.now)
-	if usable && (!w.wasUsable || w.roomFreed || w.standing < former) {
+	if usable && (!w.wasUsable || w.capacityFreed || w.standing < former) {
 		w.grownSerial = p.serial
 	}
-	w.wasUsable, w.roomFreed = usable, false
+	w.wasUsable, w.capacityFreed = usable, false
 	if usable {
 		w.usableSerial = p.serial
 		service := w.info.Service
@@ -60,14 +60,14 @@
 	}
 }
 
-// recordStanding counts a usable worker, and whether it is spared for poor reliability.
+// recordStanding counts a usable worker, and whether it is avoided for poor reliability.
 func (p *pass) recordStanding(w *worker) {
-	count := p.sparing[w.info.Service]
+	count := p.standingCounts[w.info.Service]
 	count.usable++
 	if w.standing >= reliability.Probing {
 		count.avoided++
 	}
-	p.sparing[w.info.Service] = count
+	p.standingCounts[w.info.Service] = count
 }
 
 // sortPools sorts each pool by descending free CPU.
@@ -100,19 +100,19 @@
 	return true
 }
 
-// maxWaitingGangs limits the waiting gangs that patient steps defer to.
+// maxWaitingGangs limits the waiting gangs that steps may defer to.
 const maxWaitingGangs = 4
 
-// recordWaitingGang records a gang that can still complete in time but could not be placed. Candidates
-// are placed in order of urgency, so only less urgent steps defer to it.
+// recordWaitingGang records a gang that can still complete in time but could not be placed.
+// Candidates are placed in order of urgency, so only less urgent steps defer to it.
 func (p *pass) recordWaitingGang(c candidate) {
 	if c.step.spec.Gang && c.urgency.InTime() && len(p.waitingGangs) < maxWaitingGangs && c.step.anyPlaceable() {
 		p.waitingGangs = append(p.waitingGangs, c.step)
 	}
 }
 
-// defersToGang reports whether a patient step leaves a worker to a waiting gang of a queue
-// with higher priority: one that has a task that fits there and is not known to be
+// defersToGang reports whether a step that defers to gangs leaves a worker to a waiting gang of a
+// queue with higher priority: one that has a task that fits there and is not known to be
 // ineligible. Otherwise the step's tasks would soon be preempted for the gang.
 func (p *pass) defersToGang(st *step, w *worker) bool {
 	for _, gang := range p.waitingGangs {
--- a/scheduler/preempt.go
+++ b/scheduler/preempt.go
@@ -23,8 +23,8 @@
 // stopTime returns the maximum time until the end of a preempted task is reported.
 func (w WorkerTimes) stopTime() time.Duration { return w.Stop + reportDelay }
 
-// reservationTime returns how long the capacity of preempted tasks is reservationTime for the step that they
-// were preempted for. It must exceed the stop time, or the reservation would end before the
+// reservationTime returns how long the capacity of preempted tasks is reserved for the step that
+// they were preempted for. It must exceed the stop time, or the reservation would end before the
 // capacity is free.
 func (w WorkerTimes) reservationTime() time.Duration { return w.Stop + placementDelay }
 
@@ -34,7 +34,7 @@
 
 const (
 	// reportDelay is how long the report of a stopped task's end takes, and placementDelay
-	// how long after a stop the freed capacity should be in use, including the scheduling
+	// how long after a stop the freed capacity should be in use, including the dispatch
 	// passes in between.
 	reportDelay    = 100 * time.Millisecond
 	placementDelay = 500 * time.Millisecond
--- a/scheduler/quota.go
+++ b/scheduler/quota.go
@@ -16,7 +16,7 @@
 // It may preempt tasks of its own account that have a lower priority.
 
 // allowedTasks returns how many of the step's waiting tasks its account may start now. A gang is
-// allowedTasks either as a whole or not at all.
+// allowed either as a whole or not at all.
 func (st *step) allowedTasks() int {
 	count := st.job.account.maxStarts(st, st.tasksLeft)
 	if st.spec.Gang && count < st.tasksLeft {
@@ -25,8 +25,8 @@
 	return count
 }
 
-// heldByQuota reports whether a candidate is heldByQuota back by its account's quota. It sets the number of
-// tasks that the candidate may start. The caller holds the lock.
+// heldByQuota reports whether a candidate is held back by its account's quota. It sets the number
+// of tasks that the candidate may start. The caller holds the lock.
 func (s *Scheduler) heldByQuota(p *pass, c *candidate) bool {
 	st := c.step
 	c.quotaAllowance = st.allowedTasks()
--- a/scheduler/quota_cost_test.go
+++ b/scheduler/quota_cost_test.go
@@ -29,7 +29,7 @@
 	y := urgency.Assess(urgency.Step{Priority: 1, Arrived: now, Deadline: now.Add(8 * time.Second), CriticalPath: 2 * time.Second, OverShare: true}, now)
 	for b.Loop() {
 		if urgency.Compare(x, y) >= 0 {
-			b.Fatal("step beyond the account's share sorts first, want it last")
+			b.Fatal("step over the account's share sorts first, want it last")
 		}
 	}
 }
--- a/scheduler/lives_order_test.go
+++ b/scheduler/random_restarts_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// generateJob returns a request that varies with number, the plan of its tasks, and the expected final
-// state.
+// generateJob returns a request that varies with number, the plan of its tasks, and the expected
+// final state.
 func generateJob(number int) (workload.Request, func(workload.TaskID, int) fleettest.Plan, workload.State) {
 	request := newRequest(1+number%4, resource.MilliCPU(1000+500*(number%7)))
 	request.Steps[0].Gang = number%5 == 0
@@ -101,8 +101,8 @@
 	return request, succeedAfter(duration), workload.Completed
 }
 
-// awaitStateOrGivenUp is like await, but also accepts a failed job if two or more workers have ended
-// under one of its tasks.
+// awaitStateOrGivenUp is like awaitState, but also accepts a failed job if two or more workers have
+// ended under one of its tasks.
 func (c *cell) awaitStateOrGivenUp(o *owner, name string, want workload.State) {
 	c.t.Helper()
 	state := workload.State("")
--- a/scheduler/report.go
+++ b/scheduler/report.go
@@ -14,10 +14,10 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	if w.ended {
-		s.handleEndsOfEndedLife(w, report, sent)
+		s.handleEndsOfEndedIncarnation(w, report, sent)
 		return false
 	}
-	if answering := s.resolveAnsweringLife(w, report, sent); answering != w {
+	if answering := s.resolveAnsweringIncarnation(w, report, sent); answering != w {
 		w = answering
 	}
 	if w.lastReportAt.IsZero() {
@@ -101,7 +101,7 @@
 // worker. The caller must hold s.mu.
 func (s *Scheduler) boundLeaseAtFirstReport(w *worker, now time.Time) {
 	if w.reusedID {
-		// A call sent to the former life but executed by this one may have granted a
+		// A call sent to the former incarnation but executed by this one may have granted a
 		// lease by the former clock. The worker limits it to its longest lease.
 		w.leaseExpiry = latestLeaseExpiry(now, s.maxLease)
 		return
@@ -109,10 +109,10 @@
 	w.shortenLeaseBound(now, s.lease) // the worker now rejects calls from the former owner
 }
 
-// handleEndsOfEndedLife processes ends in a report of an ended life that arrived after one of the
-// next life. The caller must hold s.mu.
-func (s *Scheduler) handleEndsOfEndedLife(w *worker, report fleet.Report, sent time.Time) {
-	if w.fromOtherLife(report, sent) {
+// handleEndsOfEndedIncarnation processes ends in a report of an ended incarnation that arrived
+// after one of the next incarnation. The caller must hold s.mu.
+func (s *Scheduler) handleEndsOfEndedIncarnation(w *worker, report fleet.Report, sent time.Time) {
+	if w.fromOtherIncarnation(report, sent) {
 		return
 	}
 	for _, end := range report.Ended {
--- a/scheduler/same_id_test.go
+++ b/scheduler/same_id_test.go
@@ -17,7 +17,7 @@
 		name         string
 		plan         fleettest.Plan
 		want         workload.State
-		noBirthTimes bool // workers do not report their start time
+		noStartTimes bool // workers do not report their start time
 	}{
 		{"tasks succeed", fleettest.Plan{Work: 300 * time.Millisecond}, workload.Completed, false},
 		{"tasks fail", fleettest.Plan{Work: 300 * time.Millisecond, Outcome: fleet.Failed}, workload.Failed, false},
@@ -27,8 +27,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			withCell(t, 3, func(c *cell) {
 				c.lease = shortLease
-				if test.noBirthTimes {
-					c.hideBirthTimes()
+				if test.noStartTimes {
+					c.hideStartTimes()
 				}
 				o := c.startOwner()
 				time.Sleep(500 * time.Millisecond)
@@ -58,8 +58,8 @@
 	c.awaitState(o, id, workload.Completed, 10*time.Second)
 }
 
-// hideBirthTimes makes workers omit their start time, so that only the clock shows a restart.
-func (c *cell) hideBirthTimes() {
+// hideStartTimes makes workers omit their start time, so that only the clock shows a restart.
+func (c *cell) hideStartTimes() {
 	for _, w := range c.fleet.List() {
 		w.StartTime = 0
 		c.fleet.Add(w)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -46,7 +46,7 @@
 	// shard's partition; 0 means unknown.
 	PartitionWrites float64
 	// WorkerTimes holds the times that workers take to stop and to restore a task; the zero
-	// value means defaultTimes.
+	// value means defaultWorkerTimes.
 	WorkerTimes WorkerTimes
 	// RemoteFactor is the ratio of a task's run time away from its data to its run time
 	// near it; values up to 1 mean unknown.
@@ -111,12 +111,12 @@
 	jobs    map[string]*job // all jobs whose state is retained, by ID
 	active  map[string]*job // jobs that are not final, by ID
 	workers map[fleet.Incarnation]*worker
-	// identities tracks the successive lives of each worker ID.
+	// identities tracks the successive incarnations of each worker ID.
 	identities map[string]*identity
-	// endedLives holds ended lives that discovery still lists.
-	endedLives map[fleet.Incarnation]bool
-	dirty      []*job // changed since they were last written
-	queues     map[string]workload.Queue
+	// endedIncarnations holds ended incarnations that discovery still lists.
+	endedIncarnations map[fleet.Incarnation]bool
+	dirty             []*job // changed since they were last written
+	queues            map[string]workload.Queue
 	// directory lists the accounts of the current configuration; accounts holds the
 	// state of those with jobs in this shard.
 	directory account.Directory
@@ -137,7 +137,7 @@
 	progressSeen      bool          // whether workers report progress
 	answers           callStats     // response times and losses of calls to workers
 	connectionBreaks  []disconnect  // recent losses of connections to workers
-	unaskedBuffer     []workerSlots // reused by freshRoom
+	unaskedBuffer     []workerSlots // reused by unaskedWorkers
 	commitSlot        chan struct{} // semaphore of size 1, held during a transaction
 	deposed           error
 	paused            bool
@@ -157,7 +157,7 @@
 		store: store, client: client, term: term, log: log.With().Uint64("token", term.Token()).Logger(), metrics: metrics,
 		commitInterval: commitIntervalFor(config.PartitionWrites), times: config.workerTimes(), remoteFactor: config.remoteFactor(),
 		jobs: map[string]*job{}, active: map[string]*job{}, workers: map[fleet.Incarnation]*worker{},
-		identities: map[string]*identity{}, endedLives: map[fleet.Incarnation]bool{}, maxLease: max(config.Lease, config.LongestLease),
+		identities: map[string]*identity{}, endedIncarnations: map[fleet.Incarnation]bool{}, maxLease: max(config.Lease, config.LongestLease),
 		queues: map[string]workload.Queue{}, accounts: map[string]*accountState{}, demands: map[string]headroom.Demand{},
 		stoppingStrays: map[string]bool{}, bundles: map[string]*bundle{}, eligibleShares: map[string]float64{}, fleetSpeed: 1,
 		formerLeaseExpiry: latestLeaseExpiry(term.FormerSentBefore().Add(leaseExtensionWindow), config.Lease), Loaded: make(chan struct{}),
--- a/scheduler/trial.go
+++ b/scheduler/trial.go
@@ -74,7 +74,7 @@
 		st.trialPassed = true
 		st.clearSuspicionOn(w)
 	}
-	w.trial, w.roomFreed = trial{}, true
+	w.trial, w.capacityFreed = trial{}, true
 	wake(s.dispatchWake)
 }
 
@@ -123,8 +123,8 @@
 	}
 }
 
-// reserveForTrial reserves all workers that a suspected step needs at the same time, and reports whether the
-// attempts of other jobs on them have settled.
+// reserveForTrial reserves all workers that a suspected step needs at the same time, and reports
+// whether the attempts of other jobs on them have settled.
 func reserveForTrial(p *pass, c candidate, shares []workerSlots) bool {
 	settled, left := true, len(c.tasks)
 	for _, part := range shares {
--- a/scheduler/owed_test.go
+++ b/scheduler/urgency_order_test.go
@@ -9,16 +9,16 @@
 	"chutereach/workload"
 )
 
-// An account's fair share goes to its most urgent jobs, regardless of which of them arrived
-// beyond the share. Otherwise an account's small jobs could starve its gang.
+// An account's fair share goes to its most urgent jobs, whether or not they arrived
+// over the share. Otherwise an account's small jobs could starve its gang.
 func TestSortByUrgencyWithinAccount(t *testing.T) {
 	busy, other := &accountState{}, &accountState{}
 	now := time.Unix(1000, 0)
 	record := workload.Record{Queue: workload.Queue{Priority: 1}}
-	newCandidate := func(id string, a *accountState, latest int, beyond bool) candidate {
+	newCandidate := func(id string, a *accountState, latest int, overShare bool) candidate {
 		return candidate{
-			step:    &step{job: &job{id: id, account: a, overShare: beyond, record: record}},
-			urgency: urgency.Assessment{Rank: urgency.InTime, LatestStart: now.Add(time.Duration(latest) * time.Second), OverShare: beyond},
+			step:    &step{job: &job{id: id, account: a, overShare: overShare, record: record}},
+			urgency: urgency.Assessment{Rank: urgency.InTime, LatestStart: now.Add(time.Duration(latest) * time.Second), OverShare: overShare},
 		}
 	}
 	cases := []struct {
@@ -31,16 +31,16 @@
 			newCandidate("gang", busy, 2, true),
 			newCandidate("small-2", busy, 51, true),
 		}, []string{"gang", "small", "small-2"}},
-		{"other accounts precede jobs beyond the share", []candidate{
+		{"other accounts precede jobs over the share", []candidate{
 			newCandidate("small", busy, 50, false),
 			newCandidate("gang", busy, 2, true),
 			newCandidate("small-2", busy, 20, true),
 			newCandidate("theirs", other, 30, false),
 		}, []string{"gang", "theirs", "small-2", "small"}},
-		{"all jobs of an account are beyond its share", []candidate{
+		{"all jobs of an account are over its share", []candidate{
 			newCandidate("gang", busy, 2, true), newCandidate("small", busy, 5, true), newCandidate("theirs", other, 30, false),
 		}, []string{"theirs", "gang", "small"}},
-		{"no job is beyond its account's share", []candidate{
+		{"no job is over its account's share", []candidate{
 			newCandidate("a", busy, 5, false), newCandidate("b", other, 4, false), newCandidate("c", busy, 3, false),
 		}, []string{"c", "b", "a"}},
 	}
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -10,19 +10,19 @@
 	"chutereach/resource"
 )
 
-// worker is the owner's state for one life of a worker process.
+// worker is the owner's state for one incarnation of a worker process.
 type worker struct {
 	info fleet.Worker
-	// What discovery says of this life: whether it lists the life, how its entry names it, and
-	// whether it lists it or may have lost the entry in an outage of the store. The capacity of a
-	// life is discovered only from its own entry.
-	discovered         bool
-	discoveredLife     fleet.Incarnation
-	recentlyDiscovered bool
-	// superseded is whether a later life with the same id is known.
+	// What discovery says of this incarnation: whether it lists it, how its entry names it, and
+	// whether it lists it or may have lost the entry in an outage of the store. The capacity of an
+	// incarnation is discovered only from its own entry.
+	discovered            bool
+	discoveredIncarnation fleet.Incarnation
+	recentlyDiscovered    bool
+	// superseded is whether a later incarnation with the same id is known.
 	superseded bool
-	reusedID   bool // an earlier life had the same id
-	ended      bool // this life has ended
+	reusedID   bool // an earlier incarnation had the same id
+	ended      bool // this incarnation has ended
 	used       resource.Amount
 	tasks      map[string]*task // by task id
 	cancel     context.CancelFunc
@@ -50,17 +50,17 @@
 	persistedWake     chan struct{}
 
 	foreignAttempts int // attempts in the last report that this owner did not grant
-	// Serial of the last placement pass in which the worker could take more than before.
+	// Serial of the last dispatch pass in which the worker could take more than before.
 	grownSerial       uint64
 	wasUsable         bool
-	usableSerial      uint64 // serial of the last placement pass in which it was usable
-	roomFreed         bool   // since the last placement pass
+	usableSerial      uint64 // serial of the last dispatch pass in which it was usable
+	capacityFreed     bool   // since the last dispatch pass
 	blockedUntil      time.Time
 	reserved          reservation
 	preemptible       []*task // attempts that may be preempted
 	preemptibleSerial uint64  // serial of the pass in which these were collected
 	health            health
-	standing          reliability.Standing // as of the last placement pass
+	standing          reliability.Standing // as of the last dispatch pass
 }
 
 // pendingEnd is a processed end that is not yet stored.
@@ -81,7 +81,7 @@
 // time. Running attempts continue, and no others start until they fit.
 func (w *worker) overcommitted() bool { return !w.used.Fits(w.info.Capacity) }
 
-// assign reserves room on the worker for a new attempt of the task.
+// assign reserves capacity on the worker for a new attempt of the task.
 func (w *worker) assign(t *task, state taskState) {
 	t.worker, t.state = w, state
 	t.startedAt, t.stoppedAt, t.progressedAt, t.percent = time.Time{}, time.Time{}, time.Time{}, 0
@@ -94,7 +94,7 @@
 	t.step.job.account.addTask(t)
 }
 
-// release frees the room of an attempt that has ended or was never started.
+// release frees the capacity of an attempt that has ended or was never started.
 func (w *worker) release(t *task) {
 	w.used = w.used.Minus(t.step.need())
 	delete(w.tasks, t.id().String())
@@ -106,7 +106,7 @@
 	}
 	t.step.job.account.removeTask(t)
 	t.worker = nil
-	w.roomFreed = true
+	w.capacityFreed = true
 }
 
 // need returns the resources that a task of the step reserves on a worker. Filler steps reserve no
@@ -124,10 +124,10 @@
 	return w.clock + fleet.Clock(now.Sub(w.clockReadAt).Milliseconds())
 }
 
-// observeLifeClock records a clock reading if it is from the worker's own life. An attempt may have moved
-// to a later life, with another clock, before its call is answered.
-func (w *worker) observeLifeClock(life fleet.Incarnation, clock fleet.Clock, now time.Time) {
-	if w.info.Incarnation == life {
+// observeIncarnationClock records a clock reading if it is from the worker's own incarnation. An
+// attempt may have moved to a later one, with another clock, before its call is answered.
+func (w *worker) observeIncarnationClock(incarnation fleet.Incarnation, clock fleet.Clock, now time.Time) {
+	if w.info.Incarnation == incarnation {
 		w.observeClock(clock, now)
 	}
 }
@@ -175,8 +175,8 @@
 // platform specifies about two seconds.
 const relistTimeout = 2 * time.Second
 
-// ackableSequence returns the sequence up to which the worker may discard ends. Ends that could not be
-// decoded are excluded.
+// ackableSequence returns the sequence up to which the worker may discard ends. Ends that could not
+// be decoded are excluded.
 func (w *worker) ackableSequence() uint64 {
 	if w.unreadFrom > 0 {
 		return min(w.persistedSequence, w.unreadFrom-1)
@@ -184,8 +184,8 @@
 	return w.persistedSequence
 }
 
-// advancePersisted advances persistedSequence over the pending ends whose jobs are stored. The caller
-// must hold Scheduler.mu.
+// advancePersisted advances persistedSequence over the pending ends whose jobs are stored. The
+// caller must hold Scheduler.mu.
 func (w *worker) advancePersisted() {
 	advanced := false
 	for len(w.pendingEnds) > 0 {
@@ -216,14 +216,14 @@
 	listed := make(map[fleet.Incarnation]bool, len(list))
 	for _, info := range list {
 		listed[info.Incarnation] = true
-		if !s.endedLives[info.Incarnation] {
+		if !s.endedIncarnations[info.Incarnation] {
 			s.updateWorker(info)
 		}
 	}
 	s.startPollingAll()
-	maps.DeleteFunc(s.endedLives, func(life fleet.Incarnation, _ bool) bool { return !listed[life] })
+	maps.DeleteFunc(s.endedIncarnations, func(incarnation fleet.Incarnation, _ bool) bool { return !listed[incarnation] })
 	for _, w := range s.workers {
-		if w.discovered && !listed[w.discoveredLife] {
+		if w.discovered && !listed[w.discoveredIncarnation] {
 			w.discovered = false
 			w.recentlyDiscovered = s.listIncomplete(time.Now()) || !s.term.FailingSince().IsZero()
 			w.leaving = w.leaving || !w.unresponsive && !w.superseded
@@ -234,19 +234,19 @@
 }
 
 func (s *Scheduler) updateWorker(info fleet.Worker) {
-	entryLife := info.Incarnation
-	info.Incarnation = s.resolveLife(info.Incarnation)
+	entryIncarnation := info.Incarnation
+	info.Incarnation = s.resolveIncarnation(info.Incarnation)
 	w := s.workers[info.Incarnation]
 	if w == nil {
-		w = s.addLife(info)
+		w = s.addIncarnation(info)
 	}
 	if info.Capacity != w.info.Capacity && w.discovered {
 		s.log.Info().Str("worker", info.ID).Stringer("was", w.info.Capacity).Stringer("is", info.Capacity).
 			Stringer("used", w.used).Msg("worker is resized")
-		w.roomFreed = true // retry steps that found no room
+		w.capacityFreed = true // retry steps that found no capacity
 	}
 	if info.Draining && !w.info.Draining {
 		s.log.Info().Str("worker", info.ID).Dur("remaining", info.Remaining).Msg("worker drains")
 	}
-	w.info, w.discovered, w.discoveredLife, w.recentlyDiscovered, w.leaving = info, true, entryLife, true, info.Draining
+	w.info, w.discovered, w.discoveredIncarnation, w.recentlyDiscovered, w.leaving = info, true, entryIncarnation, true, info.Draining
 }
--- a/scheduler/later_life_test.go
+++ b/scheduler/worker_restart_test.go
@@ -131,7 +131,7 @@
 func TestStartReachesRestartedWorker(t *testing.T) {
 	withCell(t, 2, func(c *cell) {
 		c.lease = shortLease
-		c.hideBirthTimes()
+		c.hideStartTimes()
 		o := c.startOwner()
 		time.Sleep(1500 * time.Millisecond)
 		c.restartAllWorkers(60 * time.Millisecond)
