--- a/scheduler/calls.go
+++ b/scheduler/calls.go
@@ -21,7 +21,7 @@
 // UnknownJobError reports that no job has the ID, or that it belongs to another account.
 type UnknownJobError struct{ ID string }
 
-func (e *UnknownJobError) Error() string { return fmt.Sprintf("job %s not found", e.ID) }
+func (e *UnknownJobError) Error() string { return fmt.Sprintf("there is no job %s", e.ID) }
 
 // UnconfirmedError reports that a change was not confirmed by the store in time. It may
 // still take effect.
