--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -98,12 +98,13 @@
 
 // Report is a worker's answer to a HoldOrder.
 type Report struct {
-	StartTime int64 // start time of the incarnation that answered, as in Life; 0: not reported
+	StartTime int64 // start time of the incarnation that answered; 0: not reported
 	Clock     Clock
 	Running   []Attempt
 	Ended     []EndedAttempt
-	// UndecodedRows is the number of rows that could not be decoded. If UnreadFrom is not 0, an ended
-	// attempt could not be decoded: those from that sequence number on must not be acknowledged.
+	// UndecodedRows is the number of rows that could not be decoded. If UndecodedFrom is not 0,
+	// an ended attempt could not be decoded: those from that sequence number on must not be
+	// acknowledged.
 	UndecodedRows int
 	UndecodedFrom uint64
 }
@@ -128,7 +129,7 @@
 
 // HoldOrder renews the lease of all attempts on a worker to Deadline and asks for a report, to
 // be sent when an attempt ends or after Wait. It acknowledges the ended attempts up to sequence
-// number Noted of the incarnation that it is addressed to; the worker stops reporting them.
+// number AckedThrough of the incarnation that it is addressed to; the worker stops reporting them.
 type HoldOrder struct {
 	Token        uint64 // fencing token
 	AckedThrough uint64
@@ -136,11 +137,11 @@
 	Wait         time.Duration
 }
 
-// Client calls workers. Its errors are RefusedError, ReplacedError, BusyError and
-// UnansweredError. Requests carry a worker's id but not its incarnation. A client therefore
-// sends Start and Stop only over a connection on which the addressed incarnation has answered,
-// and sends Noted to no other incarnation. A call without a response may still be executed
-// later, even by a later incarnation.
+// Client calls workers. Its errors are RefusedError, ReplacedError, UnavailableError and
+// NoResponseError. Requests carry a worker's id but not its incarnation. A client therefore sends
+// Start and Stop only over a connection on which the addressed incarnation has answered, and sends
+// AckedThrough to no other incarnation. A call without a response may still be executed later, even
+// by a later incarnation.
 type Client interface {
 	Start(ctx context.Context, worker Worker, order StartOrder) (Clock, error)
 	Stop(ctx context.Context, worker Worker, order StopOrder) (Clock, error)
@@ -196,14 +197,14 @@
 
 // IsUnsent reports whether err says that the call certainly did not reach the worker.
 func IsUnsent(err error) bool {
-	var unanswered *NoResponseError
-	return errors.As(err, &unanswered) && unanswered.Unsent
+	var noResponse *NoResponseError
+	return errors.As(err, &noResponse) && noResponse.Unsent
 }
 
 // IsConnectionClosed reports whether err says that the worker's machine closed or refused the connection.
 func IsConnectionClosed(err error) bool {
-	var unanswered *NoResponseError
-	return errors.As(err, &unanswered) && unanswered.ConnectionClosed
+	var noResponse *NoResponseError
+	return errors.As(err, &noResponse) && noResponse.ConnectionClosed
 }
 
 func (e *NoResponseError) Error() string {
--- a/fleet/fleettest/capacity.go
+++ b/fleet/fleettest/capacity.go
@@ -6,7 +6,7 @@
 	"chutereach/resource"
 )
 
-// resizeGrace is the default grace of SetResizeGrace: two intervals at which tests poll discovery.
+// resizeGrace is the default grace of SetGrace: two intervals at which tests poll discovery.
 const resizeGrace = time.Second
 
 // SetGrace sets how long after a Resize starts may still rely on the former capacity, and
--- a/fleet/fleettest/crash.go
+++ b/fleet/fleettest/crash.go
@@ -120,21 +120,21 @@
 	})
 }
 
-// nextStartTime returns the Born of an incarnation that starts now. It differs from that of the
+// nextStartTime returns the StartTime of an incarnation that starts now. It differs from that of the
 // former one, and is 0 if the former one had none.
 func (f *Fleet) nextStartTime(former *worker) int64 {
-	born := former.info.StartTime
-	if born == 0 {
+	formerStartTime := former.info.StartTime
+	if formerStartTime == 0 {
 		return 0
 	}
 	now := time.Now().Add(f.wallClockOffset).UnixMilli()
-	if now == born {
+	if now == formerStartTime {
 		now++
 	}
 	return now
 }
 
-// StepWallClock steps the wall clock of all workers, which Born is taken from.
+// StepWallClock steps the wall clock of all workers, from which StartTime is taken.
 func (f *Fleet) StepWallClock(by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +228,7 @@
 	return w != nil && !w.dead
 }
 
-// PlanOf returns the plan of a job that was registered with Know.
+// PlanOf returns the plan of a job that was registered with RegisterJob.
 func (f *Fleet) PlanOf(job string) func(workload.TaskID, int) Plan {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleettest/evacuation.go
+++ b/fleet/fleettest/evacuation.go
@@ -7,7 +7,7 @@
 )
 
 // Evacuate forbids starts in a data hall once within has passed, until Readmit. Orders that were
-// delayed by Fault.Late are exempt.
+// delayed by Fault.Delay are exempt.
 func (f *Fleet) Evacuate(hall string, within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleettest/fleettest.go
+++ b/fleet/fleettest/fleettest.go
@@ -19,7 +19,7 @@
 	Work    time.Duration
 	Outcome fleet.Outcome // Done if empty
 	Hangs   bool          // runs until it is stopped or its lease expires
-	Crashes bool          // the worker's process crashes when Work is done; see SetStartAgain
+	Crashes bool          // the worker's process crashes when Work is done; see SetSameIDRestart
 }
 
 // JobSpec describes the tasks of a job.
@@ -74,7 +74,7 @@
 	gangTimeouts     int // gang members that ended because the others did not start in time
 	restarts         int // worker processes that ended and were started again
 	observer         Observer
-	grace            time.Duration // see SetResizeGrace
+	grace            time.Duration // see SetGrace
 	adviceCalls      int
 	fault            func(call Call, worker string) Fault
 	planOverrides    map[string]Plan // by worker; they replace the plans of the jobs
@@ -85,10 +85,10 @@
 
 	discoveryEmpty     bool // discovery lists no worker
 	entryOverrides     map[string]func(fleet.Worker) fleet.Worker
-	sameIDRestartDelay time.Duration        // see SetStartAgain
-	wallClockOffset    time.Duration        // total of StepTimeOfDay
+	sameIDRestartDelay time.Duration        // see SetSameIDRestart
+	wallClockOffset    time.Duration        // total of StepWallClock
 	misdelivered       bool                 // the order being executed reached a later incarnation, which had received no call before
-	delayed            bool                 // the order being executed was delayed by Fault.Late
+	delayed            bool                 // the order being executed was delayed by Fault.Delay
 	closedHalls        map[string]time.Time // evacuation deadlines by data hall
 }
 
--- a/fleet/fleettest/gang.go
+++ b/fleet/fleettest/gang.go
@@ -46,7 +46,7 @@
 }
 
 // joinGang adds an attempt to its gang. Work starts once all members have joined; a member that
-// waits longer than gangTimeout ends with fleet.Alone.
+// waits longer than gangTimeout ends with fleet.GangIncomplete.
 func (f *Fleet) joinGang(w *worker, r *run, kind JobSpec) {
 	name := gangKey(r.task, r.number)
 	g := f.gangs[name]
--- a/fleet/fleettest/orders.go
+++ b/fleet/fleettest/orders.go
@@ -82,7 +82,7 @@
 	return &fleet.RefusedError{Reason: reason, Clock: w.clock()}
 }
 
-// extendLease extends the lease of all attempts on the worker, at most to MostLease from now.
+// extendLease extends the lease of all attempts on the worker, at most to MaxLease from now.
 func (f *Fleet) extendLease(w *worker, deadline fleet.Clock) {
 	until := w.startedAt.Add(time.Duration(deadline) * time.Millisecond)
 	if maxUntil := time.Now().Add(MaxLease); until.After(maxUntil) {
--- a/fleet/fleettest/quota.go
+++ b/fleet/fleettest/quota.go
@@ -8,7 +8,7 @@
 )
 
 // SetQuota sets the quota of an account. A former quota still allows starts until the grace of
-// SetResizeGrace has passed.
+// SetGrace has passed.
 func (f *Fleet) SetQuota(name string, quota account.Quota) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/beat.go
+++ b/node/beat.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// heartbeatInterval is the interval of heartbeats to the nearMost nodes that are first in the order
+	// heartbeatInterval is the interval of heartbeats to the first maxNearNodes nodes in the order
 	// of succession.
 	heartbeatInterval = 150 * time.Millisecond
 	maxNearNodes      = 12
 	// maxFarHeartbeatsPerSecond bounds the heartbeats per second to all other nodes together. Each of them still
-	// gets one at least every farSlowest, which is well within unreadyAfter.
+	// gets one at least every maxFarHeartbeatInterval, which is well within unreadyAfter.
 	maxFarHeartbeatsPerSecond = 200
 	maxFarHeartbeatInterval   = 2 * time.Second
 	heartbeatTimeout          = 400 * time.Millisecond
@@ -28,7 +28,7 @@
 	lostMemberRetryDelay = time.Second
 	// storeFailedAfter is how long the store must have failed the owner before it hands the shard
 	// over to any node that reaches the store. After storeSuspectAfter it already hands over to
-	// a node that the store answers within shortProbeTimeout. New jobs and results wait until
+	// a node that the store answers within shortStoreProbeTimeout. New jobs and results wait until
 	// the store answers again or another node owns the shard.
 	storeFailedAfter  = 350 * time.Millisecond
 	storeSuspectAfter = 150 * time.Millisecond
@@ -72,8 +72,8 @@
 	return max(1, min(period, int(maxFarHeartbeatInterval/heartbeatInterval)))
 }
 
-// sendHeartbeats sends the heartbeats of a turn: to the first nearMost nodes in the order of
-// succession every turn, and to each of the others every farPeriod turns.
+// sendHeartbeats sends the heartbeats of a turn: to the first maxNearNodes nodes in the order of
+// succession every turn, and to each of the others every farHeartbeatPeriod turns.
 func (n *Node) sendHeartbeats(turn int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,7 +91,7 @@
 	near := maxNearNodes
 	for i, member := range ranked {
 		if member.Node == n.config.Self.Node {
-			near++ // this node does not count toward nearMost
+			near++ // this node does not count toward maxNearNodes
 			continue
 		}
 		every := 1
--- a/node/forget.go
+++ b/node/forget.go
@@ -17,7 +17,7 @@
 	memberRemovalDelay = 3 * time.Minute
 	// membershipCheckInterval is how often an owner looks for members to remove, and how often
 	// other nodes check that they are still members. A member gets a heartbeat at least every
-	// farSlowest.
+	// maxFarHeartbeatInterval.
 	membershipCheckInterval = 30 * time.Second
 )
 
--- a/node/forget_test.go
+++ b/node/forget_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// forgottenAfter exceeds forgetAfter and one cleanup interval.
+// forgottenAfter exceeds memberRemovalDelay and one cleanup interval.
 const forgottenAfter = 4 * time.Minute
 
 func (c *cell) assertMemberCount(want int) {
--- a/node/members.go
+++ b/node/members.go
@@ -21,7 +21,7 @@
 
 const (
 	// successionSize is the number of members that every node knows: the first in the order of
-	// successionSize. All other nodes wait equally long before they try to take the shard, and only
+	// succession. All other nodes wait equally long before they try to take the shard, and only
 	// the owner needs to know them. If every node read all members and were sent every change,
 	// the traffic would grow with the square of the number of nodes.
 	successionSize = maxNearNodes + 1
--- a/node/messages.go
+++ b/node/messages.go
@@ -56,10 +56,10 @@
 	// TableAge is the time since the owner's table of routes was last confirmed as current.
 	TableAge time.Duration `cbor:"5,keyasint,omitempty"`
 	Members  []Member      `cbor:"3,keyasint,omitempty"` // empty: unchanged since the last heartbeat that listed them
-	// NextIn is the time until the next heartbeat; 0: beatEvery.
+	// NextIn is the time until the next heartbeat; 0: heartbeatInterval.
 	NextIn time.Duration `cbor:"4,keyasint,omitempty"`
 	// Relay is the address of the relay from which the node gets the operator's orders; empty: it
-	// reads the store. If Undecided is set, the owner has not chosen relays yet and the node keeps
+	// reads the store. If RelayUndecided is set, the owner has not chosen relays yet and the node keeps
 	// its current one.
 	Relay          string `cbor:"6,keyasint,omitempty"`
 	RelayUndecided bool   `cbor:"8,keyasint,omitempty"`
@@ -107,7 +107,7 @@
 type takeoverRequest struct {
 	From  string `cbor:"1,keyasint"`
 	Probe bool   `cbor:"2,keyasint,omitempty"` // only check whether a takeover is possible
-	// StoreTimeout is the time within which the store must answer the successor; 0: quickLook.
+	// StoreTimeout is the time within which the store must answer the successor; 0: storeProbeTimeout.
 	StoreTimeout time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -76,7 +76,7 @@
 	// announcedVersion is incremented with each change.
 	announced        []Member
 	announcedVersion uint64
-	// plan assigns the relays of the operator's orders, as of memberSerial planAt. It is nil
+	// plan assigns the relays of the operator's orders, as of membersVersion planVersion. It is nil
 	// when it must be computed anew.
 	plan          *relayPlan
 	planVersion   uint64
@@ -150,7 +150,7 @@
 // Routes returns the current table of routes.
 func (n *Node) Routes() (routing.Table, bool) { return n.routes.Current() }
 
-// recordStoreSuccess and storeFails record whether the store can be reached.
+// recordStoreSuccess and recordStoreFailure record whether the store can be reached.
 func (n *Node) recordStoreSuccess() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/owner.go
+++ b/node/owner.go
@@ -44,7 +44,7 @@
 	// storeProbeTimeout is how quickly the store must answer a prospective successor. handoverTimeout
 	// bounds each call to a successor.
 	storeProbeTimeout = 150 * time.Millisecond
-	// shortStoreProbeTimeout replaces quickLook when the store has failed the owner only briefly and
+	// shortStoreProbeTimeout replaces storeProbeTimeout when the store has failed the owner only briefly and
 	// may be slow for every node.
 	shortStoreProbeTimeout = 50 * time.Millisecond
 	handoverTimeout        = 700 * time.Millisecond
--- a/node/relay.go
+++ b/node/relay.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// nextChange returns a channel that is closed at the next call of news.
+// nextChange returns a channel that is closed at the next call of notifyChange.
 func (e *orderSource) nextChange() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/serve.go
+++ b/node/serve.go
@@ -23,7 +23,7 @@
 )
 
 // Submit passes a job to the owner and returns once it is in the store. Besides the scheduler's
-// errors it returns those of routing.Table.Recheck. After an OverloadedError the job was not
+// errors it returns those of routing.Table.Recheck. After a RejectedError the job was not
 // accepted; after an UnconfirmedError it may have been.
 func (n *Node) Submit(ctx context.Context, caller routing.Caller, id string, record workload.Record) error {
 	err := n.serve(ctx, id, func(ctx context.Context, own *scheduler.Scheduler) error {
--- a/rowstore/rowstore.go
+++ b/rowstore/rowstore.go
@@ -70,7 +70,7 @@
 	// Commit applies a transaction and returns the version of the rows it wrote.
 	Commit(ctx context.Context, transaction Transaction) (uint64, error)
 	// Read returns the rows of one partition whose names are not less than from, in the order
-	// of their names, limit at most. A limit of 0 selects MaxPage.
+	// of their names, limit at most. A limit of 0 selects MaxPageRows.
 	Read(ctx context.Context, table, partition, from string, limit int) (Page, error)
 	// Watch returns the rows of a table, in all partitions, that changed after a version. It
 	// waits until there are any, and returns an empty page if there are none within wait.
--- a/transfer/limit.go
+++ b/transfer/limit.go
@@ -20,8 +20,8 @@
 
 // WithStallLimit returns a context for one exchange that is canceled once no progress has
 // been reported for the limit. A deadline for the whole exchange would fail every exchange
-// above some size. Progress is reported by Progressed, which the body returned by Sending and
-// Read call; onProgress, if not nil, is called on each report.
+// above some size. Progress is reported by ReportProgress, which RequestBody's body and Read
+// call; onProgress, if not nil, is called on each report.
 func WithStallLimit(ctx context.Context, limit time.Duration, onProgress func()) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	w := &watchdog{limit: limit, onProgress: onProgress}
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -44,7 +44,7 @@
 }
 
 // Read reads a body of at most limit bytes to its end and reports each read to the stall
-// timer of ctx. It returns a BrokenOffError or a TooLargeError on failure.
+// timer of ctx. It returns a TruncatedError or a TooLargeError on failure.
 func Read(ctx context.Context, body io.Reader, limit int64) ([]byte, Received, error) {
 	start := time.Now()
 	data, err := io.ReadAll(&progressReader{ctx, io.LimitReader(body, limit+1)})
@@ -86,7 +86,7 @@
 }
 
 // ReceivedBefore returns how much of a response was read before err, or the zero value if err
-// wraps no BrokenOffError.
+// wraps no TruncatedError.
 func ReceivedBefore(err error) Received {
 	var truncated *TruncatedError
 	if errors.As(err, &truncated) {
