--- a/workload/crashes_test.go
+++ b/workload/crashes_test.go
@@ -11,15 +11,17 @@
 	"chutereach/workload"
 )
 
-// life returns the incarnation of a worker that never restarts.
-func life(worker string) fleet.Incarnation { return fleet.Incarnation{ID: worker, StartTime: 1} }
+// incarnationOf returns the incarnation of a worker that never restarts.
+func incarnationOf(worker string) fleet.Incarnation {
+	return fleet.Incarnation{ID: worker, StartTime: 1}
+}
 
 // crashesAfter returns the record of a task after one worker crash per piece of evidence.
 func crashesAfter(evidence ...workload.LossEvidence) workload.CrashHistory {
 	var c workload.CrashHistory
 	for i, e := range evidence {
 		worker := fmt.Sprintf("w-%d", i)
-		c = c.WithLostAttempt(life(worker), e).WithWorkerCrash(life(worker), i+1)
+		c = c.WithLostAttempt(incarnationOf(worker), e).WithWorkerCrash(incarnationOf(worker), i+1)
 	}
 	return c
 }
@@ -36,14 +38,14 @@
 		{"one early crash", crashesAfter(workload.EarlyLoss), 1, false, false},
 		{"two early crashes", crashesAfter(workload.EarlyLoss, workload.EarlyLoss), 2, false, true},
 		{"one early and one late crash", crashesAfter(workload.EarlyLoss, workload.LateLoss), 2, false, false},
-		{"one early crash and one lost worker", crashesAfter(workload.EarlyLoss).WithLostAttempt(life("w-9"), workload.EarlyLoss), 2, true, false},
-		{"one early crash and one worker that responds again", crashesAfter(workload.EarlyLoss).WithLostAttempt(life("w-9"), workload.EarlyLoss).WithWorkerAlive(life("w-9")), 2, false, false},
+		{"one early crash and one lost worker", crashesAfter(workload.EarlyLoss).WithLostAttempt(incarnationOf("w-9"), workload.EarlyLoss), 2, true, false},
+		{"one early crash and one worker that responds again", crashesAfter(workload.EarlyLoss).WithLostAttempt(incarnationOf("w-9"), workload.EarlyLoss).WithWorkerAlive(incarnationOf("w-9")), 2, false, false},
 		{"three late crashes", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss), 3, false, false},
 		{"three late crashes and one more attempt", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss), 4, false, false},
 		{"three late crashes and two more attempts", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss), 5, false, true},
 		{"three late crashes and two more attempts, one not started", crashesAfter(workload.LateLoss, workload.LateLoss, workload.LateLoss).WithUnstartedAttempt(), 5, false, false},
-		{"two late crashes and one lost worker", crashesAfter(workload.LateLoss, workload.LateLoss).WithLostAttempt(life("w-9"), workload.InconclusiveLoss), 3, true, false},
-		{"crash reported twice", crashesAfter(workload.EarlyLoss).WithWorkerCrash(life("w-0"), 1), 1, false, false},
+		{"two late crashes and one lost worker", crashesAfter(workload.LateLoss, workload.LateLoss).WithLostAttempt(incarnationOf("w-9"), workload.InconclusiveLoss), 3, true, false},
+		{"crash reported twice", crashesAfter(workload.EarlyLoss).WithWorkerCrash(incarnationOf("w-0"), 1), 1, false, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -80,7 +82,7 @@
 				}
 				worker := fmt.Sprintf("w-%d", attempt)
 				unresolved = append(unresolved, lostAttempt{worker, crashes})
-				c = c.WithLostAttempt(life(worker), workload.LossEvidence(rapid.IntRange(0, 2).Draw(t, "evidence")))
+				c = c.WithLostAttempt(incarnationOf(worker), workload.LossEvidence(rapid.IntRange(0, 2).Draw(t, "evidence")))
 				continue
 			}
 			if len(unresolved) == 0 {
@@ -88,9 +90,9 @@
 			}
 			i := rapid.IntRange(0, len(unresolved)-1).Draw(t, "resolved")
 			if unresolved[i].crashed {
-				c = c.WithWorkerCrash(life(unresolved[i].worker), attempt)
+				c = c.WithWorkerCrash(incarnationOf(unresolved[i].worker), attempt)
 			} else {
-				c = c.WithWorkerAlive(life(unresolved[i].worker))
+				c = c.WithWorkerAlive(incarnationOf(unresolved[i].worker))
 			}
 			unresolved = slices.Delete(unresolved, i, i+1)
 		}
