--- a/node/beat.go
+++ b/node/heartbeat.go
@@ -172,7 +172,7 @@
 	}, nil
 }
 
-// ownerHeard records a sign of life of an owner and when the next heartbeat is due, unless an
+// ownerHeard records a message from an owner and when the next heartbeat is due, unless an
 // owner with a higher token is known.
 func (n *Node) ownerHeard(owner ownership, next time.Duration) {
 	n.mu.Lock()
@@ -186,7 +186,7 @@
 	n.setOwnerLocked(owner)
 }
 
-// learnOwner records that another node owns the shard, without counting it as a sign of life.
+// learnOwner records that another node owns the shard, without counting it as a message from that node.
 func (n *Node) learnOwner(owner ownership) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/lost_test.go
+++ b/node/lost_test.go
@@ -8,7 +8,7 @@
 )
 
 // A successor marks an unresponsive former owner as lost, and clears the mark when it answers again.
-func TestSilentOwnerIsMarkedLost(t *testing.T) {
+func TestUnresponsiveOwnerIsMarkedLost(t *testing.T) {
 	runInCell(t, 3, func(c *cell) {
 		former := c.owner()
 		for _, other := range c.nodes {
--- a/node/forget_test.go
+++ b/node/member_removal_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// forgottenAfter exceeds memberRemovalDelay and one cleanup interval.
-const forgottenAfter = 4 * time.Minute
+// removedAfter exceeds memberRemovalDelay and one cleanup interval.
+const removedAfter = 4 * time.Minute
 
 func (c *cell) assertMemberCount(want int) {
 	c.t.Helper()
@@ -17,14 +17,14 @@
 	}
 }
 
-// All nodes forget a member that stays stopped, and learn of it again after it restarts.
-func TestAbsentNodesAreForgotten(t *testing.T) {
+// All nodes remove a member that stays stopped, and add it again after it restarts.
+func TestAbsentNodesAreRemoved(t *testing.T) {
 	runInCell(t, 4, func(c *cell) {
 		stopped := c.nodeOtherThan(c.owner())
 		c.stop(stopped)
 		time.Sleep(time.Minute)
 		c.assertMemberCount(4)
-		time.Sleep(forgottenAfter)
+		time.Sleep(removedAfter)
 		c.assertMemberCount(3)
 		c.start(stopped)
 		time.Sleep(5 * time.Second)
@@ -32,15 +32,15 @@
 	})
 }
 
-// A node that was forgotten during a network partition registers again after the partition heals.
-func TestForgottenNodeRegistersAgain(t *testing.T) {
+// A node that was removed during a network partition registers again after the partition heals.
+func TestRemovedNodeRegistersAgain(t *testing.T) {
 	runInCell(t, 4, func(c *cell) {
 		isolated := c.nodeOtherThan(c.owner())
 		for _, m := range c.nodes {
 			c.network.Cut(m.name, isolated.name)
 			c.network.Cut(isolated.name, m.name)
 		}
-		time.Sleep(forgottenAfter)
+		time.Sleep(removedAfter)
 		for _, m := range c.nodes {
 			c.network.Heal(m.name, isolated.name)
 			c.network.Heal(isolated.name, m.name)
