--- a/fleet/fleettest/checks.go
+++ b/fleet/fleettest/checks.go
@@ -37,10 +37,10 @@
 }
 
 // checkStart records the violations of the scheduler's guarantees by the start of an attempt.
-func (f *Fleet) checkStart(w *worker, task workload.TaskID, order fleet.StartOrder, kind JobSpec) {
+func (f *Fleet) checkStart(w *worker, task workload.TaskID, order fleet.StartOrder, spec JobSpec) {
 	name := task.String()
 	f.startedJobs[task.Job] = true
-	if kind.Request.Steps == nil {
+	if spec.Request.Steps == nil {
 		f.violation("%s was started, but its job was not registered", name)
 		return
 	}
@@ -52,15 +52,15 @@
 			f.violation("%s runs twice: on %s as attempt %d and on %s as attempt %d", name, other.info.ID, r.number, w.info.ID, order.Number)
 		}
 	}
-	if f.failures[name] >= kind.MaxFailures {
-		f.violation("%s was started after %d failed attempts, limit %d", name, f.failures[name], kind.MaxFailures)
+	if f.failures[name] >= spec.MaxFailures {
+		f.violation("%s was started after %d failed attempts, limit %d", name, f.failures[name], spec.MaxFailures)
 	}
-	f.checkStep(w, task, order, kind)
+	f.checkStep(w, task, order, spec)
 }
 
 // checkStep checks a start against the constraints of its step and the worker's capacity.
-func (f *Fleet) checkStep(w *worker, task workload.TaskID, order fleet.StartOrder, kind JobSpec) {
-	step := kind.Request.Steps[task.Step]
+func (f *Fleet) checkStep(w *worker, task workload.TaskID, order fleet.StartOrder, spec JobSpec) {
+	step := spec.Request.Steps[task.Step]
 	used, perWorker := step.Need, 1
 	for _, r := range w.runs {
 		used = used.Plus(r.need)
@@ -81,7 +81,7 @@
 		f.violation("%s was given the checkpoint %s of another step", task, order.Checkpoint)
 	}
 	for _, dependency := range step.DependsOn {
-		for index := range kind.Request.Steps[dependency].Count {
+		for index := range spec.Request.Steps[dependency].Count {
 			predecessor := workload.TaskID{Job: task.Job, Round: task.Round, Step: dependency, Index: index}
 			if !f.hasSucceeded(predecessor.String()) {
 				f.violation("%s was started before %s was done", task, predecessor)
--- a/fleet/fleettest/fleettest.go
+++ b/fleet/fleettest/fleettest.go
@@ -262,10 +262,10 @@
 }
 
 // RegisterJob registers a job. It must be called before the job is submitted.
-func (f *Fleet) RegisterJob(job string, kind JobSpec) {
+func (f *Fleet) RegisterJob(job string, spec JobSpec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.jobs[job] = kind
+	f.jobs[job] = spec
 }
 
 // SetFault makes decide choose the fault of each call; nil: no faults.
--- a/fleet/fleettest/gang.go
+++ b/fleet/fleettest/gang.go
@@ -47,7 +47,7 @@
 
 // joinGang adds an attempt to its gang. Work starts once all members have joined; a member that
 // waits longer than gangTimeout ends with fleet.GangIncomplete.
-func (f *Fleet) joinGang(w *worker, r *run, kind JobSpec) {
+func (f *Fleet) joinGang(w *worker, r *run, spec JobSpec) {
 	name := gangKey(r.task, r.number)
 	g := f.gangs[name]
 	if g == nil {
@@ -55,13 +55,13 @@
 		f.gangs[name] = g
 	}
 	g.members[r.task.Index] = w
-	if len(g.members) == kind.Request.Steps[r.task.Step].Count {
+	if len(g.members) == spec.Request.Steps[r.task.Step].Count {
 		for index, host := range g.members {
 			member := r.task
 			member.Index = index
 			if other := host.runs[member.String()]; other != nil && !host.dead {
 				other.timer.Stop()
-				f.runPlan(host, other, kind)
+				f.runPlan(host, other, spec)
 			}
 		}
 		return
--- a/fleet/fleettest/orders.go
+++ b/fleet/fleettest/orders.go
@@ -132,42 +132,42 @@
 	if err != nil {
 		return 0, f.refuse(w, fleet.Invalid)
 	}
-	kind := f.jobs[task.Job]
-	if kind.NeedsTicket && !f.acceptsTicket(order.Ticket, task.StepName(), w) {
+	spec := f.jobs[task.Job]
+	if spec.NeedsTicket && !f.acceptsTicket(order.Ticket, task.StepName(), w) {
 		return 0, f.refuse(w, fleet.InvalidTicket)
 	}
-	f.startAttempt(w, task, order, kind)
+	f.startAttempt(w, task, order, spec)
 	return w.clock(), nil
 }
 
 // startAttempt starts an attempt and checks whether the start was allowed.
-func (f *Fleet) startAttempt(w *worker, task workload.TaskID, order fleet.StartOrder, kind JobSpec) {
+func (f *Fleet) startAttempt(w *worker, task workload.TaskID, order fleet.StartOrder, spec JobSpec) {
 	f.starts++
 	if !f.misdelivered {
-		f.checkStart(w, task, order, kind)
+		f.checkStart(w, task, order, spec)
 		f.checkCrashes(task)
 		f.checkHall(w, task)
 	}
 	r := &run{task: task, number: order.Number, resumedFrom: order.Checkpoint, misdelivered: f.misdelivered}
-	if task.Step < len(kind.Request.Steps) {
-		r.need = kind.Request.Steps[task.Step].Need
+	if task.Step < len(spec.Request.Steps) {
+		r.need = spec.Request.Steps[task.Step].Need
 	}
 	w.runs[order.Task] = r
-	f.checkQuota(kind.Account)
+	f.checkQuota(spec.Account)
 	r.timer = time.AfterFunc(time.Hour, func() {})
-	if task.Step < len(kind.Request.Steps) && kind.Request.Steps[task.Step].Gang {
-		f.joinGang(w, r, kind)
+	if task.Step < len(spec.Request.Steps) && spec.Request.Steps[task.Step].Gang {
+		f.joinGang(w, r, spec)
 		return
 	}
-	f.runPlan(w, r, kind)
+	f.runPlan(w, r, spec)
 }
 
 // runPlan starts the work of an attempt, which ends as its plan says.
-func (f *Fleet) runPlan(w *worker, r *run, kind JobSpec) {
+func (f *Fleet) runPlan(w *worker, r *run, spec JobSpec) {
 	r.startedAt = time.Now()
 	plan := Plan{Work: time.Second}
-	if kind.Plan != nil {
-		plan = kind.Plan(r.task, r.number)
+	if spec.Plan != nil {
+		plan = spec.Plan(r.task, r.number)
 	}
 	if override, ok := f.planOverrides[w.info.ID]; ok {
 		plan = override
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -22,11 +22,11 @@
 		for i := range 10 {
 			owner.AddTimerLag(time.Second)
 			time.Sleep(200 * time.Millisecond)
-			begun := time.Now()
+			startedAt := time.Now()
 			if err := c.submit(owner, fmt.Sprintf("job-%d", i)); err != nil {
 				t.Error(err)
 			}
-			if took := time.Since(begun); took > 200*time.Millisecond {
+			if took := time.Since(startedAt); took > 200*time.Millisecond {
 				t.Errorf("job accepted after %v, want 200ms at most", took)
 			}
 		}
@@ -92,9 +92,9 @@
 			break // only the first candidate
 		}
 		former.Stop(c.ctx)
-		begun := time.Now()
+		startedAt := time.Now()
 		for c.submit(c.nodes[3], "after") != nil {
-			if time.Since(begun) > 3*time.Second {
+			if time.Since(startedAt) > 3*time.Second {
 				t.Fatal("no job accepted within 3 s of the handover")
 			}
 			time.Sleep(20 * time.Millisecond) // refusals do not advance the synctest clock
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -142,7 +142,7 @@
 	n.mu.Unlock()
 	if wasLost != state.lost {
 		n.log.Info().Str("node", member.Node).Bool("lost", state.lost).Msg("node reachability changed")
-		n.setLanes()
+		n.updateAdviceNodes()
 	}
 	if err != nil {
 		return
@@ -150,14 +150,14 @@
 	if answer.Owner.Token > message.Owner.Token {
 		n.learnOwner(answer.Owner)
 	}
-	n.noteTableVersion(answer.TableVersion, member.Address)
+	n.recordTableVersion(answer.TableVersion, member.Address)
 }
 
 // handleHeartbeat answers a heartbeat of the owner.
 func (n *Node) handleHeartbeat(_ context.Context, message heartbeat) (heartbeatResponse, error) {
 	n.ownerHeard(message.Owner, message.NextIn)
 	n.orders.assign(message, time.Now())
-	n.noteTableVersion(message.TableVersion, message.Owner.Address)
+	n.recordTableVersion(message.TableVersion, message.Owner.Address)
 	if !n.routes.OlderThan(message.TableVersion) {
 		n.tables.confirm(message.TableAge)
 	}
--- a/node/lag.go
+++ b/node/lag.go
@@ -41,11 +41,11 @@
 // run measures the lag until ctx ends, and samples the machine's speed after each measurement.
 func (m *lagMeter) run(ctx context.Context, speed *speedMeter) {
 	for {
-		begun := time.Now()
+		startedAt := time.Now()
 		if wait.For(ctx, lagSampleInterval) != nil {
 			return
 		}
-		m.add(max(0, time.Since(begun)-lagSampleInterval))
+		m.add(max(0, time.Since(startedAt)-lagSampleInterval))
 		speed.sample()
 	}
 }
--- a/node/load_test.go
+++ b/node/load_test.go
@@ -26,13 +26,13 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(500 * time.Millisecond)
-		begun := time.Now()
+		startedAt := time.Now()
 		err := c.submit(m, "job")
 		var overloaded *scheduler.RejectedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
 			t.Errorf("got error %v, want OverloadedError with RetryAfter", err)
 		}
-		if took := time.Since(begun); took > 100*time.Millisecond {
+		if took := time.Since(startedAt); took > 100*time.Millisecond {
 			t.Errorf("refused after %v, want 100ms at most", took)
 		}
 		m.storeCaller.SetFault(nil)
--- a/node/member_removal.go
+++ b/node/member_removal.go
@@ -54,7 +54,7 @@
 	if _, err := n.platform.Store.Commit(callCtx, rowstore.Transaction{Deletes: keys}); err != nil {
 		n.log.Warn().Int("nodes", len(removed)).Err(err).Msg("cannot delete the rows of removed nodes")
 	}
-	n.setLanes()
+	n.updateAdviceNodes()
 }
 
 // dropLostMembers removes lost members from n.members and returns them. It removes no more than
--- a/node/members.go
+++ b/node/members.go
@@ -157,22 +157,22 @@
 	return list
 }
 
-// setLanes gives the scheduler the nodes from which it can request advice.
-func (n *Node) setLanes() {
+// updateAdviceNodes gives the scheduler the nodes from which it can request advice.
+func (n *Node) updateAdviceNodes() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.scheduler == nil {
 		return
 	}
 	self := n.config.Self
-	lanes := []scheduler.AdviceNode{{Node: self.Node, Self: true, Advisor: n.platform.Advisor}}
+	nodes := []scheduler.AdviceNode{{Node: self.Node, Self: true, Advisor: n.platform.Advisor}}
 	for _, member := range n.others() {
 		if n.peers[member.Node].lost {
 			continue
 		}
-		lanes = append(lanes, scheduler.AdviceNode{Node: member.Node, Advisor: remoteAdvisor{n, member.Address}})
+		nodes = append(nodes, scheduler.AdviceNode{Node: member.Node, Advisor: remoteAdvisor{n, member.Address}})
 	}
-	n.scheduler.SetAdviceNodes(lanes)
+	n.scheduler.SetAdviceNodes(nodes)
 }
 
 // remoteAdvisor requests advice from another node.
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -50,7 +50,7 @@
 const (
 	fromStore       = "store"
 	fromNode        = "node"
-	storeBrokenOff  = "store_broken_off"
+	storeTruncated  = "store_broken_off"
 	nodeFetchFailed = "node_failed"
 	servedToNode    = "served"
 	fromRelay       = "relay"
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -274,9 +274,9 @@
 				}
 				formerNode := former.Node
 				loss.inject(c, former)
-				begun := time.Now()
+				startedAt := time.Now()
 				for c.owner() == nil || c.owner().Node == formerNode {
-					if time.Since(begun) > loss.limit {
+					if time.Since(startedAt) > loss.limit {
 						t.Fatalf("no other node owns the shard after %v", loss.limit)
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -324,11 +324,11 @@
 		for _, m := range c.nodes {
 			c.start(m)
 		}
-		begun := time.Now()
-		for c.owner() == nil && time.Since(begun) < 5*time.Second {
+		startedAt := time.Now()
+		for c.owner() == nil && time.Since(startedAt) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if took := time.Since(begun); took > time.Second {
+		if took := time.Since(startedAt); took > time.Second {
 			t.Errorf("no owner for %v after the restart, want 1s at most", took)
 		}
 		c.awaitCompleted(c.nodes[2], "job", 12*time.Second)
@@ -341,13 +341,13 @@
 		c.stop(m)
 		c.start(m)
 		m.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{Reject: true} })
-		begun := time.Now()
+		startedAt := time.Now()
 		err := c.submit(m, "job")
 		var overloaded *scheduler.RejectedError
 		if !errors.As(err, &overloaded) || overloaded.RetryAfter <= 0 {
 			t.Errorf("got error %v, want OverloadedError with RetryAfter", err)
 		}
-		if took := time.Since(begun); took > 1500*time.Millisecond {
+		if took := time.Since(startedAt); took > 1500*time.Millisecond {
 			t.Errorf("refused after %v, want 1.5s at most", took)
 		}
 		m.storeCaller.SetFault(nil)
--- a/node/owner.go
+++ b/node/owner.go
@@ -237,11 +237,11 @@
 	n.mu.Lock()
 	rank := n.rank(seen.Node)
 	n.mu.Unlock()
-	begun := time.Now()
+	startedAt := time.Now()
 	wait.For(ctx, time.Duration(min(rank, maxDelayedRank))*rankDelay)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return ctx.Err() == nil && n.scheduler == nil && !n.stopping && n.ownerHeardAt.Before(begun)
+	return ctx.Err() == nil && n.scheduler == nil && !n.stopping && n.ownerHeardAt.Before(startedAt)
 }
 
 // markLost marks a node as lost until it answers a heartbeat, so that calls do not wait for it.
@@ -266,7 +266,7 @@
 	if stopping {
 		return &StoppingError{}
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	self := n.config.Self
@@ -278,7 +278,7 @@
 	n.recordStoreSuccess()
 	n.log.Info().Uint64("token", term.Token()).Uint64("from", seen.Version).Str("why", why).Msg("shard taken")
 	n.ownerHeard(ownership{self.Node, self.Address, term.Token()}, heartbeatInterval)
-	n.startTerm(term, begun)
+	n.startTerm(term, startedAt)
 	return nil
 }
 
@@ -305,7 +305,7 @@
 		err := n.load(ctx, own)
 		if err == nil {
 			n.log.Info().Uint64("token", term.Token()).Dur("took", time.Since(startedAt)).Msg("shard loaded")
-			n.setLanes()
+			n.updateAdviceNodes()
 			close(loaded)
 			close(own.Loaded)
 			err = own.Run(ctx)
@@ -342,7 +342,7 @@
 	first := true
 	rowstore.Follow(ctx, n.platform.Store, nodesTable, "", func(rows map[string]rowstore.Row) {
 		n.setMembers(rows)
-		n.setLanes()
+		n.updateAdviceNodes()
 		if first {
 			n.sendHeartbeats(allNodesTurn)
 		}
@@ -354,7 +354,7 @@
 // does not answer a quick probe either, it tries to hand the shard over. A node that the store
 // answers quickly keeps the shard, since loading would take as long elsewhere.
 func (n *Node) load(ctx context.Context, own *scheduler.Scheduler) error {
-	begun, stallLimit := time.Now(), initialStallLimit
+	startedAt, stallLimit := time.Now(), initialStallLimit
 	n.loadFailing.Store(false)
 	for {
 		callCtx, cancel := transfer.WithStallLimit(ctx, stallLimit, nil)
@@ -370,7 +370,7 @@
 		}
 		n.loadFailing.Store(true)
 		n.log.Warn().Err(err).Msg("shard cannot be loaded yet")
-		if time.Since(begun) > loadHandoverAfter && n.probeStore(ctx, storeProbeTimeout) != nil {
+		if time.Since(startedAt) > loadHandoverAfter && n.probeStore(ctx, storeProbeTimeout) != nil {
 			n.handOver(ctx, "this node cannot load the shard from the store", anySuccessor)
 		}
 		if err := wait.For(ctx, storeRetryDelay); err != nil {
--- a/node/relay.go
+++ b/node/relay.go
@@ -21,7 +21,7 @@
 // returns stale orders reads the store itself.
 
 const (
-	// relayPollWait is how long a relay holds a request without news. A caller allows
+	// relayPollWait is how long a relay holds a request if its orders are unchanged. A caller allows
 	// relayCallMargin more for the response.
 	relayPollWait   = time.Second
 	relayCallMargin = 300 * time.Millisecond
@@ -245,11 +245,11 @@
 // answerOrders holds a node's request until there are newer orders for it, or until the wait it
 // allows has passed. It fails at once if the store does not answer this relay.
 func (n *Node) answerOrders(ctx context.Context, call ordersRequest) (ordersResponse, error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	timer := time.NewTimer(min(call.Wait, relayPollWait))
 	defer timer.Stop()
 	for {
-		news := n.orders.nextChange()
+		changed := n.orders.nextChange()
 		if n.storeUnavailable() {
 			return ordersResponse{}, &StoreUnavailableError{}
 		}
@@ -259,12 +259,12 @@
 		}
 		view := n.evacuations.Current()
 		if table.Version > call.TableVersion || call.outdatedBy(view) {
-			return n.currentOrders(call, time.Since(begun))
+			return n.currentOrders(call, time.Since(startedAt))
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
-			return n.currentOrders(call, time.Since(begun))
+			return n.currentOrders(call, time.Since(startedAt))
 		case <-ctx.Done():
 			return ordersResponse{}, ctx.Err()
 		}
--- a/node/serve.go
+++ b/node/serve.go
@@ -79,7 +79,7 @@
 func (n *Node) serve(ctx context.Context, id string, local func(context.Context, *scheduler.Scheduler) error, remote func(context.Context, string, time.Duration) error) error {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	var uncertain error // error of a try that may have been carried out
 	for {
 		err := n.tryServe(ctx, id, local, remote)
@@ -99,7 +99,7 @@
 		default:
 			return err
 		}
-		if wait.For(ctx, ownerRetryDelay) != nil || time.Since(begun) > noOwnerTimeout {
+		if wait.For(ctx, ownerRetryDelay) != nil || time.Since(startedAt) > noOwnerTimeout {
 			if uncertain != nil {
 				return &scheduler.UnconfirmedError{Cause: uncertain}
 			}
--- a/node/speed.go
+++ b/node/speed.go
@@ -28,9 +28,9 @@
 
 // sample runs the benchmark once.
 func (m *speedMeter) sample() {
-	begun := time.Now()
+	startedAt := time.Now()
 	spin(benchmarkRounds)
-	m.add(time.Since(begun))
+	m.add(time.Since(startedAt))
 }
 
 //go:noinline
--- a/node/table.go
+++ b/node/table.go
@@ -129,7 +129,7 @@
 	}
 	n.metrics.tableExchanges.Add(fromStore, 1)
 	n.metrics.transferTimes.Record(answer.Took)
-	n.log.Info().Str("table", table).Int("bytes", answer.Bytes).Dur("took", answer.Took).Msg("large answer of the store")
+	n.log.Info().Str("table", table).Int("bytes", answer.Bytes).Dur("took", answer.Took).Msg("received large response from the store")
 }
 
 // feedFailed records a failed feed call. It logs each call whose response was interrupted.
@@ -141,14 +141,14 @@
 	if partial.Bytes == 0 {
 		return
 	}
-	n.metrics.tableExchanges.Add(storeBrokenOff, 1)
+	n.metrics.tableExchanges.Add(storeTruncated, 1)
 	n.log.Warn().Str("table", err.Table).Str("exchange", string(err.Request)).Int("bytes", partial.Bytes).
-		Dur("took", err.Took).Err(err).Msg("answer of the store broke off")
+		Dur("took", err.Took).Err(err).Msg("store response truncated")
 }
 
-// noteTableVersion records the version of another node's table, and fetches that table if it is newer
+// recordTableVersion records the version of another node's table, and fetches that table if it is newer
 // than this node's and the store does not send it.
-func (n *Node) noteTableVersion(version uint64, address string) {
+func (n *Node) recordTableVersion(version uint64, address string) {
 	if version == 0 || !n.routes.OlderThan(version) {
 		return
 	}
@@ -189,19 +189,19 @@
 	defer n.tables.endFetch()
 	ctx, cancel := transfer.WithStallLimit(n.ctx, fetchStallLimit, nil)
 	defer cancel()
-	begun := time.Now()
+	startedAt := time.Now()
 	table, err := peer.Call[routing.Table](ctx, n.client, address, tablePath, empty{})
 	if err != nil {
 		n.metrics.tableExchanges.Add(nodeFetchFailed, 1)
 		n.log.Warn().Str("from", address).Int("bytes", transfer.ReceivedBefore(err).Bytes).
-			Dur("took", time.Since(begun)).Err(err).Msg("configuration not fetched")
+			Dur("took", time.Since(startedAt)).Err(err).Msg("cannot fetch configuration from node")
 		return
 	}
 	n.metrics.tableExchanges.Add(fromNode, 1)
-	n.metrics.transferTimes.Record(time.Since(begun))
+	n.metrics.transferTimes.Record(time.Since(startedAt))
 	newer := n.routes.Offer(table)
 	n.log.Info().Str("from", address).Uint64("version", table.Version).Bool("newer", newer).
-		Dur("took", time.Since(begun)).Msg("configuration fetched")
+		Dur("took", time.Since(startedAt)).Msg("configuration fetched")
 }
 
 // answerTable sends the table of routes to another node.
--- a/node/transfer_test.go
+++ b/node/transfer_test.go
@@ -117,9 +117,9 @@
 		c.limitLinks(slowLinkRate)
 		c.stop(former)
 		defer c.start(former)
-		begun := time.Now()
+		startedAt := time.Now()
 		var err error
-		for time.Since(begun) < 12*time.Second {
+		for time.Since(startedAt) < 12*time.Second {
 			for _, m := range c.nodes {
 				if m != former && m.Owns() {
 					if err = c.submit(m, "after"); err == nil {
@@ -129,6 +129,6 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Errorf("no job accepted after %v: %v", time.Since(begun), err)
+		t.Errorf("no job accepted after %v: %v", time.Since(startedAt), err)
 	})
 }
--- a/node/lost_test.go
+++ b/node/unresponsive_owner_test.go
@@ -16,12 +16,12 @@
 			c.network.Cut(other.name, former.name)
 		}
 		former.storeCaller.SetFault(func(bool) memory.Fault { return memory.Fault{DropRequest: true} })
-		begun := time.Now()
+		startedAt := time.Now()
 		next := c.awaitOtherOwner(former, 1500*time.Millisecond)
 		if next == nil {
 			t.Fatal("no node took over the shard within 1.5 s")
 		}
-		t.Logf("takeover after %v", time.Since(begun))
+		t.Logf("takeover after %v", time.Since(startedAt))
 		if !next.IsPeerLost(former.name) {
 			t.Error("the former owner is not marked as lost at the takeover")
 		}
