--- a/node/beat.go
+++ b/node/heartbeat.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// heartbeatInterval is the interval of heartbeats to the nearMost nodes that are first in the order
+	// heartbeatInterval is the interval of heartbeats to the first maxNearNodes nodes in the order
 	// of succession.
 	heartbeatInterval = 150 * time.Millisecond
 	maxNearNodes      = 12
 	// maxFarHeartbeatsPerSecond bounds the heartbeats per second to all other nodes together. Each of them still
-	// gets one at least every farSlowest, which is well within unreadyAfter.
+	// gets one at least every maxFarHeartbeatInterval, which is well within unreadyAfter.
 	maxFarHeartbeatsPerSecond = 200
 	maxFarHeartbeatInterval   = 2 * time.Second
 	heartbeatTimeout          = 400 * time.Millisecond
@@ -28,7 +28,7 @@
 	lostMemberRetryDelay = time.Second
 	// storeFailedAfter is how long the store must have failed the owner before it hands the shard
 	// over to any node that reaches the store. After storeSuspectAfter it already hands over to
-	// a node that the store answers within shortProbeTimeout. New jobs and results wait until
+	// a node that the store answers within shortStoreProbeTimeout. New jobs and results wait until
 	// the store answers again or another node owns the shard.
 	storeFailedAfter  = 350 * time.Millisecond
 	storeSuspectAfter = 150 * time.Millisecond
@@ -72,8 +72,8 @@
 	return max(1, min(period, int(maxFarHeartbeatInterval/heartbeatInterval)))
 }
 
-// sendHeartbeats sends the heartbeats of a turn: to the first nearMost nodes in the order of
-// succession every turn, and to each of the others every farPeriod turns.
+// sendHeartbeats sends the heartbeats of a turn: to the first maxNearNodes nodes in the order of
+// succession every turn, and to each of the others every farHeartbeatPeriod turns.
 func (n *Node) sendHeartbeats(turn int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,7 +91,7 @@
 	near := maxNearNodes
 	for i, member := range ranked {
 		if member.Node == n.config.Self.Node {
-			near++ // this node does not count toward nearMost
+			near++ // this node does not count toward maxNearNodes
 			continue
 		}
 		every := 1
@@ -142,7 +142,7 @@
 	n.mu.Unlock()
 	if wasLost != state.lost {
 		n.log.Info().Str("node", member.Node).Bool("lost", state.lost).Msg("node reachability changed")
-		n.setLanes()
+		n.updateAdviceNodes()
 	}
 	if err != nil {
 		return
@@ -150,14 +150,14 @@
 	if answer.Owner.Token > message.Owner.Token {
 		n.learnOwner(answer.Owner)
 	}
-	n.noteTableVersion(answer.TableVersion, member.Address)
+	n.recordTableVersion(answer.TableVersion, member.Address)
 }
 
 // handleHeartbeat answers a heartbeat of the owner.
 func (n *Node) handleHeartbeat(_ context.Context, message heartbeat) (heartbeatResponse, error) {
 	n.ownerHeard(message.Owner, message.NextIn)
 	n.orders.assign(message, time.Now())
-	n.noteTableVersion(message.TableVersion, message.Owner.Address)
+	n.recordTableVersion(message.TableVersion, message.Owner.Address)
 	if !n.routes.OlderThan(message.TableVersion) {
 		n.tables.confirm(message.TableAge)
 	}
@@ -172,7 +172,7 @@
 	}, nil
 }
 
-// ownerHeard records a sign of life of an owner and when the next heartbeat is due, unless an
+// ownerHeard records a message from an owner and when the next heartbeat is due, unless an
 // owner with a higher token is known.
 func (n *Node) ownerHeard(owner ownership, next time.Duration) {
 	n.mu.Lock()
@@ -186,7 +186,7 @@
 	n.setOwnerLocked(owner)
 }
 
-// learnOwner records that another node owns the shard, without counting it as a sign of life.
+// learnOwner records that another node owns the shard, without counting it as a message from that node.
 func (n *Node) learnOwner(owner ownership) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/node/members.go
+++ b/node/members.go
@@ -21,7 +21,7 @@
 
 const (
 	// successionSize is the number of members that every node knows: the first in the order of
-	// successionSize. All other nodes wait equally long before they try to take the shard, and only
+	// succession. All other nodes wait equally long before they try to take the shard, and only
 	// the owner needs to know them. If every node read all members and were sent every change,
 	// the traffic would grow with the square of the number of nodes.
 	successionSize = maxNearNodes + 1
@@ -157,22 +157,22 @@
 	return list
 }
 
-// setLanes gives the scheduler the nodes from which it can request advice.
-func (n *Node) setLanes() {
+// updateAdviceNodes gives the scheduler the nodes from which it can request advice.
+func (n *Node) updateAdviceNodes() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.scheduler == nil {
 		return
 	}
 	self := n.config.Self
-	lanes := []scheduler.AdviceNode{{Node: self.Node, Self: true, Advisor: n.platform.Advisor}}
+	nodes := []scheduler.AdviceNode{{Node: self.Node, Self: true, Advisor: n.platform.Advisor}}
 	for _, member := range n.others() {
 		if n.peers[member.Node].lost {
 			continue
 		}
-		lanes = append(lanes, scheduler.AdviceNode{Node: member.Node, Advisor: remoteAdvisor{n, member.Address}})
+		nodes = append(nodes, scheduler.AdviceNode{Node: member.Node, Advisor: remoteAdvisor{n, member.Address}})
 	}
-	n.scheduler.SetAdviceNodes(lanes)
+	n.scheduler.SetAdviceNodes(nodes)
 }
 
 // remoteAdvisor requests advice from another node.
