--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -332,7 +332,7 @@
 		case t.attempt > 0 || t.checkpoint != "":
 			tp := workload.TaskProgress{Index: t.index, Attempt: t.attempt, Failures: t.failures, Checkpoint: t.checkpoint, CrashHistory: t.crashes}
 			if t.worker != nil {
-				tp.Worker, tp.Born = t.worker.info.ID, t.worker.info.StartTime
+				tp.Worker, tp.StartTime = t.worker.info.ID, t.worker.info.StartTime
 				if !addressed[t.worker] { // once per worker, to keep the row small: it is rewritten on each change
 					tp.Address, addressed[t.worker] = t.worker.info.Address, true
 				}
@@ -370,11 +370,11 @@
 		t.attempt, t.failures, t.checkpoint, t.crashes = tp.Attempt, tp.Failures, tp.Checkpoint, tp.CrashHistory
 		st.suspected = st.suspected || t.crashes.Suspected
 		if tp.Worker != "" {
-			hosts(fleet.Incarnation{ID: tp.Worker, StartTime: tp.Born}, tp.Address).assign(t, taskStarting)
+			hosts(fleet.Incarnation{ID: tp.Worker, StartTime: tp.StartTime}, tp.Address).assign(t, taskStarting)
 			t.recovered, t.startSent = true, true
 		}
 		for _, lost := range t.crashes.Unresolved {
-			w := hosts(lost.Life(), "")
+			w := hosts(lost.Incarnation(), "")
 			w.lostAttempts = append(w.lostAttempts, lostAttempt{t, t.attempt})
 		}
 	}
--- a/workload/crashes.go
+++ b/workload/crashes.go
@@ -48,14 +48,16 @@
 
 // LostWorker identifies a worker incarnation that stopped responding until its lease expired.
 type LostWorker struct {
-	ID   string `cbor:"1,keyasint"`
-	Born int64  `cbor:"3,keyasint,omitempty"`
+	ID        string `cbor:"1,keyasint"`
+	StartTime int64  `cbor:"3,keyasint,omitempty"`
 	// Early reports whether a crash of this worker would count as an early crash.
 	Early bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Life returns the incarnation that was lost.
-func (l LostWorker) Life() fleet.Incarnation { return fleet.Incarnation{ID: l.ID, StartTime: l.Born} }
+// Incarnation returns the incarnation that was lost.
+func (l LostWorker) Incarnation() fleet.Incarnation {
+	return fleet.Incarnation{ID: l.ID, StartTime: l.StartTime}
+}
 
 // WithLostAttempt returns c with the loss of an attempt whose worker may have crashed.
 func (c CrashHistory) WithLostAttempt(worker fleet.Incarnation, evidence LossEvidence) CrashHistory {
@@ -79,7 +81,7 @@
 // WithWorkerCrash returns c after a lost worker is confirmed to have ended. attempt is the task's
 // latest attempt. A worker that is not recorded as lost leaves c unchanged.
 func (c CrashHistory) WithWorkerCrash(worker fleet.Incarnation, attempt int) CrashHistory {
-	i := slices.IndexFunc(c.Unresolved, func(lost LostWorker) bool { return lost.Life() == worker })
+	i := slices.IndexFunc(c.Unresolved, func(lost LostWorker) bool { return lost.Incarnation() == worker })
 	if i < 0 {
 		return c
 	}
@@ -107,7 +109,7 @@
 func (c CrashHistory) unresolvedExcept(worker fleet.Incarnation) []LostWorker {
 	var rest []LostWorker
 	for _, lost := range c.Unresolved {
-		if lost.Life() != worker {
+		if lost.Incarnation() != worker {
 			rest = append(rest, lost)
 		}
 	}
--- a/workload/progress.go
+++ b/workload/progress.go
@@ -28,8 +28,8 @@
 	Failures   int    `cbor:"3,keyasint,omitempty"`
 	Worker     string `cbor:"4,keyasint,omitempty"` // worker that may hold the attempt, or empty
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	// Born distinguishes incarnations of a worker that reuse its ID; 0 if unknown.
-	Born int64 `cbor:"11,keyasint,omitempty"`
+	// StartTime distinguishes incarnations of a worker that reuse its ID; 0 if unknown.
+	StartTime int64 `cbor:"11,keyasint,omitempty"`
 	// Address is the address of the worker, which lets a new owner contact it before discovery
 	// has listed it. It is set only on the first task of the step on each worker.
 	Address string `cbor:"12,keyasint,omitempty"`
