--- a/commit/commit.go
+++ b/commit/commit.go
@@ -71,12 +71,12 @@
 func (s *Sender) Table() provider.Table { return s.table }
 
 // Wait blocks until the rate limit permits another transaction. Callers that build batches
-// call Wait before they collect a batch and send it with DoNow, so that batches grow when
-// the rate is limited.
+// call Wait before they collect a batch and send it with DoUnthrottled, so that batches grow
+// when the rate is limited.
 func (s *Sender) Wait(ctx context.Context) error { return s.limit.Wait(ctx) }
 
 // Do sends t, with retries, until its outcome is known or ctx ends. It returns the version
-// of the written rows, or a provider.ConflictError, an AbandonedError or an UndecidedError.
+// of the written rows, or a provider.ConflictError, a NotAppliedError or an UnknownOutcomeError.
 func (s *Sender) Do(ctx context.Context, t provider.Txn) (uint64, error) {
 	if err := s.Wait(ctx); err != nil {
 		return 0, &NotAppliedError{t.ID, err}
--- a/commit/group.go
+++ b/commit/group.go
@@ -68,8 +68,8 @@
 }
 
 // Do queues p for the next transaction and waits for its outcome: the version of the
-// written rows, a provider.ConflictError for one of p's own conditions, an AbandonedError
-// or an UndecidedError. It returns an UndecidedError if ctx ends first.
+// written rows, a provider.ConflictError for one of p's own conditions, a NotAppliedError
+// or an UnknownOutcomeError. It returns an UnknownOutcomeError if ctx ends first.
 func (g *Group) Do(ctx context.Context, p Part) (uint64, error) {
 	w := &pendingPart{p, make(chan outcome, 1)}
 	g.mu.Lock()
