--- a/keys/keys.go
+++ b/keys/keys.go
@@ -25,7 +25,7 @@
 	dirMode                = 0o700
 )
 
-// Files that NewAuthority writes.
+// Files that EnsureAuthority writes.
 const (
 	AuthorityCertFile = "authority.pem"
 	AuthorityKeyFile  = "authority-key.pem"
