--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -127,7 +127,7 @@
 
 // surveyCapacity counts the slots for a step on workers known to be eligible, and collects
 // workers not asked about yet only if those slots do not suffice: scanning every worker
-// for every waiting step is expensive (see BenchmarkOwner).
+// for every waiting step is expensive (see BenchmarkOwnerLoad in package platform).
 func (s *Scheduler) surveyCapacity(p *pass, c candidate) capacitySurvey {
 	st := c.step
 	validUntil := p.now.Add(st.job.record.Queue.Advice.Latency(minWorkersPerCall) + ticketMargin)
