--- a/ownership/keeper.go
+++ b/ownership/keeper.go
@@ -17,7 +17,7 @@
 	"chutereach/wait"
 )
 
-// Settings holds the timing parameters of a Keeper.
+// Settings holds the timing parameters of a Manager.
 type Settings struct {
 	HeartbeatInterval time.Duration // interval between heartbeats, and between reads of the control rows
 	HeartbeatTimeout  time.Duration // time after which an unchanged heartbeat has expired
@@ -79,7 +79,7 @@
 	}
 }
 
-// OnView registers f to be called with every view that the Keeper reads. It must
+// OnView registers f to be called with every view that the Manager reads. It must
 // be called before Run.
 func (k *Manager) OnView(f func(control.View)) { k.viewListeners = append(k.viewListeners, f) }
 
