--- a/box/life.go
+++ b/box/life.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// units is the units that an incarnation owns. It is the keeper's Owner.
+// units holds the units that an incarnation owns. It is the ownership manager's UnitRunner.
 type units struct {
 	life *life
 	mu   sync.Mutex
