--- a/box/life.go
+++ b/box/life.go
@@ -193,7 +193,7 @@
 
 func newUnits(l *life) *units { return &units{life: l, own: map[string]*hall.Unit{}} }
 
-// StartUnit implements ownership.Owner.
+// StartUnit implements ownership.UnitRunner.
 func (s *units) StartUnit(h ownership.Assignment) {
 	b := s.life.box
 	set := hall.DefaultSettings
@@ -215,7 +215,7 @@
 	}()
 }
 
-// StopUnit implements ownership.Owner.
+// StopUnit implements ownership.UnitRunner.
 func (s *units) StopUnit(unit string) time.Time {
 	s.mu.Lock()
 	u := s.own[unit]
--- a/hall/bench_test.go
+++ b/hall/bench_test.go
@@ -238,7 +238,7 @@
 	current *Unit
 }
 
-// StartUnit implements ownership.Owner.
+// StartUnit implements ownership.UnitRunner.
 func (t *takeoverBox) StartUnit(h ownership.Assignment) {
 	t.ownedAt = time.Now()
 	t.current = New(h, DefaultSettings, t.deps)
@@ -246,7 +246,7 @@
 	t.units <- t.current
 }
 
-// StopUnit implements ownership.Owner.
+// StopUnit implements ownership.UnitRunner.
 func (t *takeoverBox) StopUnit(string) time.Time {
 	t.current.cancel(errStopped)
 	return time.Now()
--- a/ownership/doc.go
+++ b/ownership/doc.go
@@ -9,8 +9,8 @@
 // requires the version of the unit's row.
 //
 // Each observer judges expiry by its own clock only: a heartbeat has expired when
-// its row has not changed for Settings.Lapse plus the duration of the observer's
+// its row has not changed for Settings.HeartbeatTimeout plus the duration of the observer's
 // own last heartbeat write. The added duration keeps a slow table from causing
-// takeovers. An owner counts Settings.Lapse from before it sent its last heartbeat,
+// takeovers. An owner counts Settings.HeartbeatTimeout from before it sent its last heartbeat,
 // so its ownership ends before any observer considers it expired.
 package ownership
--- a/ownership/keeper.go
+++ b/ownership/manager.go
@@ -148,7 +148,7 @@
 }
 
 // runPeriodically calls f until ctx ends. The interval between the starts of two
-// calls is Settings.Beat, less up to 10 % of jitter so that boxes don't synchronize.
+// calls is Settings.HeartbeatInterval, less up to 10 % of jitter so that boxes don't synchronize.
 // If a call took longer than the interval, the next one starts immediately.
 func (k *Manager) runPeriodically(ctx context.Context, f func()) {
 	for ctx.Err() == nil {
--- a/ownership/spread.go
+++ b/ownership/spread.go
@@ -256,7 +256,7 @@
 	return k.leaving
 }
 
-// reapTimeouts is the multiple of Settings.Lapse after which the unchanged row of a
+// reapTimeouts is the multiple of Settings.HeartbeatTimeout after which the unchanged row of a
 // box is removed. Until then it is left to the boxes that take over its units.
 const reapTimeouts = 10
 
