--- a/cell/cell.go
+++ b/cell/cell.go
@@ -111,18 +111,18 @@
 // Code implements peer.Coder.
 func (e *NoOwnerError) Code() peer.Code { return CodeNoOwner }
 
-// CodeNoJob is the wire code of a hall.NoJobError in calls between boxes.
+// CodeNoJob is the wire code of a hall.JobNotFoundError in calls between boxes.
 const CodeNoJob peer.Code = "no-job"
 
-// codedNoJobError is a hall.NoJobError with a wire code.
+// codedNoJobError is a hall.JobNotFoundError with a wire code.
 type codedNoJobError struct{ *hall.JobNotFoundError }
 
 func (codedNoJobError) Code() peer.Code { return CodeNoJob }
 
-// Unwrap lets errors.As find the hall.NoJobError in results of local calls.
+// Unwrap lets errors.As find the hall.JobNotFoundError in results of local calls.
 func (e codedNoJobError) Unwrap() error { return e.JobNotFoundError }
 
-// withCode adds the wire code to a hall.NoJobError and returns other errors unchanged.
+// withCode adds the wire code to a hall.JobNotFoundError and returns other errors unchanged.
 func withCode(err error) error {
 	var missing *hall.JobNotFoundError
 	if errors.As(err, &missing) {
--- a/node/node.go
+++ b/node/node.go
@@ -76,7 +76,7 @@
 	// announcedVersion is incremented with each change.
 	announced        []Member
 	announcedVersion uint64
-	// plan assigns the relays of the operator's orders, as of membersVersion planVersion. It is nil
+	// plan assigns the relays of the operator's orders, as of the members version planVersion. It is nil
 	// when it must be computed anew.
 	plan          *relayPlan
 	planVersion   uint64
--- a/node/relayplan.go
+++ b/node/relayplan.go
@@ -16,7 +16,7 @@
 type relayPlan struct {
 	// relayNodes holds the names of the nodes assigned as relays.
 	relayNodes map[string]bool
-	// relayAddress maps names of nodes to the addresses of their relayAddress.
+	// relayAddress maps names of nodes to the addresses of their relays.
 	relayAddress map[string]string
 }
 
--- a/reliability/record.go
+++ b/reliability/record.go
@@ -35,7 +35,7 @@
 	Quarantined          // no work
 )
 
-// Record sums up the outcomes of attempts on a worker. The zero Record is that of a sound worker.
+// Record sums up the outcomes of attempts on a worker. The zero Record is that of a healthy worker.
 type Record struct {
 	consecutive      int     // consecutive failures attributed to the worker
 	failureRate      float64 // as of lastFailedAt
--- a/reliability/record_test.go
+++ b/reliability/record_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// After any history, a worker leaves quarantine within the maximum length, and is sound again after a
+// After any history, a worker leaves quarantine within the maximum length, and is healthy again after a
 // success and enough time without failures.
 func TestWorkersRecover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/rowstore/memory/memory.go
+++ b/rowstore/memory/memory.go
@@ -208,7 +208,7 @@
 // chunkSize is the number of bytes that are transmitted at once.
 const chunkSize = 4 << 10
 
-// NewClient returns a new NewClient for the store, without faults or links.
+// NewClient returns a new Client for the store, without faults or links.
 func (s *Store) NewClient() *Client { return &Client{store: s} }
 
 // SetFault sets the function that returns the fault of each call; write is true for
--- a/rowstore/rowstore.go
+++ b/rowstore/rowstore.go
@@ -65,7 +65,7 @@
 }
 
 // Store is a transactional row store. Its methods return ConflictError, UnavailableError,
-// UnknownError and HistoryLostError.
+// UnknownOutcomeError and HistoryLostError.
 type Store interface {
 	// Commit applies a transaction and returns the version of the rows it wrote.
 	Commit(ctx context.Context, transaction Transaction) (uint64, error)
--- a/scheduler/crash.go
+++ b/scheduler/crash.go
@@ -8,7 +8,7 @@
 )
 
 // Detection of tasks that crash their workers. A worker that has ended reports nothing about its
-// attempts, so the owner counts the workers that ended while a task ran there (workload.Crashes). A
+// attempts, so the owner counts the workers that ended while a task ran there (workload.CrashHistory). A
 // lost worker is first only known not to have answered until its lease expired. Later either the
 // same incarnation answers again, or another answers at its address, or discovery no longer lists
 // it; only the last two count as an end. The job of a task with too many is failed.
